--- a/tansywood/service/door.py
+++ b/tansywood/service/door.py
@@ -33,7 +33,7 @@
 from tansywood.tenancy.limits import Bucket
 from tansywood.tenancy.placement import Placement
 from tansywood.tenancy.settings import ACTIVE, read
-from windrelay.server import EMPTY, ONE_LESS
+from windrelay.server import ACCEPT_RETRY_ERRNOS, EMPTY_RESPONSE_HEADS
 
 MS = 1_000_000
 ACCEPTS = 64  # in one turn of the loop
@@ -45,9 +45,9 @@
 STOP_S = 0.5
 LAST_ANSWERS_S = 0.2  # before the end of it, for those that wait for the agent
 AWAY = b"Retry-After: 2.000\r\nConnection: close\r\n\r\n"
-STOPPED = EMPTY[503] + AWAY
-TOO_LONG = EMPTY[431] + b"Connection: close\r\n\r\n"
-TOO_MANY = EMPTY[429] + b"Retry-After: 1.000\r\nConnection: close\r\n\r\n"
+STOPPED = EMPTY_RESPONSE_HEADS[503] + AWAY
+TOO_LONG = EMPTY_RESPONSE_HEADS[431] + b"Connection: close\r\n\r\n"
+TOO_MANY = EMPTY_RESPONSE_HEADS[429] + b"Retry-After: 1.000\r\nConnection: close\r\n\r\n"
 
 
 class Visitor:
@@ -202,7 +202,7 @@
             except BlockingIOError:
                 return
             except OSError as err:
-                if err.errno in ONE_LESS:
+                if err.errno in ACCEPT_RETRY_ERRNOS:
                     continue
                 # No descriptors: what connects waits in the system until some are free.
                 self.log(f"accept: {err}")
@@ -404,7 +404,7 @@
         self.loop.call_later(SWEEP_S, self.sweep)
         for who in self.lobby.late(time.monotonic_ns() // MS):
             assert isinstance(who, Visitor)
-            self.answer_and_close(who, EMPTY[408] + b"Connection: close\r\n\r\n")
+            self.answer_and_close(who, EMPTY_RESPONSE_HEADS[408] + b"Connection: close\r\n\r\n")
         for who in self.lookups.late(time.monotonic_ns() // MS):
             assert isinstance(who, Visitor)
             self.decide(who, FULL)
--- a/tansywood/service/tenant.py
+++ b/tansywood/service/tenant.py
@@ -17,18 +17,24 @@
 from tansywood.service.report import Report
 from tansywood.tenancy.limits import Bucket
 from tansywood.tenancy.settings import ACTIVE, DELETED, DRAINING, TenantSettings, read
-from windrelay.assemble import HttpNode
+from windrelay.http_node import HttpNode
 from windrelay.node import Node
 from windrelay.ports import Source
-from windrelay.server import EMPTY, BadRequest, ClientConnection, Incoming, Server
+from windrelay.server import (
+    EMPTY_RESPONSE_HEADS,
+    BadRequest,
+    ClientConnection,
+    IncomingRequest,
+    Server,
+)
 
 SECOND = 1_000_000_000
 AWAY = 2 * SECOND  # told to callers of a tenant that is suspended or drains
 CLOSE_AFTER_S = 1.0
 KEY = b"x-tenant-key"
 # What nobody's requests get, whoever asked for whatever: the same bytes in every case.
-UNKNOWN = EMPTY[404] + b"Connection: close\r\n\r\n"
-FULL = EMPTY[503] + b"Retry-After: 1.000\r\nConnection: close\r\n\r\n"
+UNKNOWN = EMPTY_RESPONSE_HEADS[404] + b"Connection: close\r\n\r\n"
+FULL = EMPTY_RESPONSE_HEADS[503] + b"Retry-After: 1.000\r\nConnection: close\r\n\r\n"
 
 
 class TenantConnection(ClientConnection):
@@ -101,7 +107,7 @@
     def on_headers_complete(self) -> None:
         incoming, hosted = self._incoming, self._hosted
         assert incoming is not None
-        fields = incoming.fields
+        fields = incoming.headers
         shown = (fields.get(b"host", b""), fields.get(b"x-tenant-id", b""), self._key)
         if shown != self._proved or hosted.epoch != self._proved_in:
             if not hosted.mine(self.listener, *shown):
@@ -111,11 +117,11 @@
             self._proved_in = hosted.epoch
         super().on_headers_complete()
 
-    def _begin(self, incoming: Incoming) -> None:
+    def _start_request(self, incoming: IncomingRequest) -> None:
         hosted = self._hosted
         self._cls = ""
-        if not incoming.probe:
-            if not self._up_to_date(incoming):
+        if not incoming.is_probe:
+            if not self._revalidate_head(incoming):
                 return
             self._cls = hosted.class_names.get(incoming.cls, "")
             hosted.report.asked(self._cls)
@@ -125,9 +131,9 @@
                 hosted.node.budget.give(incoming.reserved)
                 self._keep_alive = incoming.keep_alive and status == 429
                 hosted.report.refused(self._cls, why)
-                super().answer_empty(status, wait)
+                super().send_empty_response(status, wait)
                 return
-        super()._begin(incoming)
+        super()._start_request(incoming)
 
     # ---- what it got --------------------------------------------------------------------
 
@@ -143,18 +149,18 @@
             self._hosted.report.served(self._cls, self._hosted.node.now - request.arrived)
         super().begin(content_type, length, source)
 
-    def answer_empty(self, status: int, retry_after: int) -> None:
+    def send_empty_response(self, status: int, retry_after: int) -> None:
         report = self._hosted.report
         if status == 503:
             node = self._hosted.node
             report.refused(self._cls, "open" if node.open >= node.config.max_open else "busy")
         else:
             report.failed(self._cls)
-        super().answer_empty(status, retry_after)
+        super().send_empty_response(status, retry_after)
 
-    def _reject(self, status: int, why: object = "") -> None:
+    def _reject(self, status: int, reason: object = "") -> None:
         self._hosted.report.turned_away(status)
-        super()._reject(status, why)
+        super()._reject(status, reason)
 
 
 class TenantServer(Server):
@@ -175,8 +181,8 @@
         self.bucket: Bucket | None = None
         super().__init__(node)
 
-    def know(self, classes: Any, numbers: Any) -> None:
-        super().know(classes, numbers)
+    def set_classes(self, classes: Any, numbers: Any) -> None:
+        super().set_classes(classes, numbers)
         self.class_names = {number: name for name, number in numbers.items()}
 
     def mine(self, listener: str, host: bytes, name: bytes, key: bytes) -> bool:
@@ -199,7 +205,7 @@
             return
         sock.setblocking(False)
         self.node.clients += 1
-        self._welcome(sock, TenantConnection(self, sock, listener, first))
+        self._attach_transport(sock, TenantConnection(self, sock, listener, first))
 
     def hold(self, held: bool) -> None:
         """Read nothing from its callers for now, or go on."""
@@ -267,7 +273,7 @@
         if new.limits != old.limits:
             assert server.bucket is not None
             server.bucket.change(time.monotonic_ns(), new.limits.rate_per_s, new.limits.burst)
-        server.know(config.settings.classes, node.retune(config.settings))
+        server.set_classes(config.settings.classes, node.retune(config.settings))
         if new.servers != old.servers:
             self.rev += 1
             node.discovery.roster.name_zones(shape.zones(new))
@@ -298,10 +304,10 @@
 
     def idle(self) -> bool:
         """Whether nothing would be lost with it: no caller, no request, nothing out."""
-        return not (self.node.requests or self.server.connections or self.server._tasks)
+        return not (self.node.requests or self.server.connections or self.server._accept_tasks)
 
     def finished(self) -> bool:
-        return self.server.finished() and not self.node.requests
+        return self.server.try_finish() and not self.node.requests
 
     def end(self) -> None:
         """Answer what is left, and let go of everything."""
--- a/tests/inside.py
+++ b/tests/inside.py
@@ -11,8 +11,8 @@
 
 import uvloop
 
-from windrelay.assemble import HttpNode
 from windrelay.config import load
+from windrelay.http_node import HttpNode
 from windrelay.server import Server
 
 from .harness import LIMIT, config
--- a/tests/iso8583/test_mixed.py
+++ b/tests/iso8583/test_mixed.py
@@ -16,8 +16,8 @@
 from standins.ledger import End, Ledger
 from standins.platform import config, roster, target
 from standins.servers import Behaviour, Reply, TopupServer
-from windrelay.assemble import HttpNode
 from windrelay.config import load
+from windrelay.http_node import HttpNode
 from windrelay.server import Server
 
 from .world import run, settings, world
--- a/tests/service/test_hosted.py
+++ b/tests/service/test_hosted.py
@@ -398,11 +398,13 @@
         hosts = [worker.host(views[f"u-{n}"]) for n in range(3)]
         work = [h for h in hosts if isinstance(h, Hosted)]
         assert len(work) == 3
-        before = [(h.server.epoch, h.server.numbering, h.node.balancer.settings) for h in work]
+        before = [
+            (h.server.epoch, h.server.classes_version, h.node.balancer.settings) for h in work
+        ]
         new = views["u-0"] | {"version": 2, "document": document("t-0", title="x")}
         worker.follower._take("u-0", new)
         worker.follower._take("u-7", None)
-        after = [(h.server.epoch, h.server.numbering, h.node.balancer.settings) for h in work]
+        after = [(h.server.epoch, h.server.classes_version, h.node.balancer.settings) for h in work]
         assert after[0] != before[0] and after[1:] == before[1:]
         assert work[0].version == 2 and list(worker.hosted) == ["u-0", "u-1", "u-2"]
         assert len(worker.follower.views) == 299
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -465,7 +465,7 @@
             assert incoming is not None
             for n in range(20):  # 16 KiB in a quarter of a second: the slowest line there is
                 writer.write(bytes(16 << 10))
-                await i.until(lambda n=n: incoming.size >= (n + 1) * (16 << 10))  # type: ignore[misc]
+                await i.until(lambda n=n: incoming.body_size >= (n + 1) * (16 << 10))  # type: ignore[misc]
                 i.server.sweep()
             assert conn._incoming is incoming
             for _ in range(60):  # and then nothing
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -230,14 +230,14 @@
         assert len(os.listdir("/proc/self/fd")) == before
 
 
-@pytest.mark.parametrize("number", sorted(windrelay_server.ONE_LESS))
+@pytest.mark.parametrize("number", sorted(windrelay_server.ACCEPT_RETRY_ERRNOS))
 def test_an_error_of_one_waiting_connection_hides_none_behind_it(
     tmp_path: Path, number: int
 ) -> None:
     """accept passes on what is wrong with the one it took; the listener is sound."""
     with inside(tmp_path, roster()) as one:
         port = one.server.listen(one.config.listen)
-        real: Any = one.server._sock
+        real: Any = one.server._listener
         left = [OSError(number, os.strerror(number))] * 3
 
         class Listener:
@@ -246,7 +246,7 @@
                     raise left.pop()
                 return real.accept()
 
-        one.server._sock = Listener()  # type: ignore[assignment]
+        one.server._listener = Listener()  # type: ignore[assignment]
 
         async def drive() -> None:
             client = socket.create_connection(("127.0.0.1", port))
@@ -254,8 +254,8 @@
             client.close()
 
         one.run(drive())
-        one.server._sock = real
-        assert not one.server._paused
+        one.server._listener = real
+        assert not one.server._accept_paused
 
 
 @pytest.mark.parametrize("turns", range(6))
@@ -268,12 +268,12 @@
         async def drive() -> None:
             client = socket.create_connection(("127.0.0.1", port))
             one.server._accept()  # now, not when the loop gets to it: the turns are counted
-            tasks = list(one.server._tasks)
+            tasks = list(one.server._accept_tasks)
             assert tasks
             await one.turns(turns)
             for task in tasks:
                 task.cancel()
-            await one.until(lambda: not one.server._tasks)
+            await one.until(lambda: not one.server._accept_tasks)
             client.close()
             await one.until(lambda: not one.node.clients)
 
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -13,7 +13,7 @@
 import pytest
 
 from flinthatch import Balancer
-from windrelay.guard import ends_connection
+from windrelay.guard import closes_connection_on_error
 from windrelay.node import Attempt, Node
 from windrelay.server import ClientConnection
 from windrelay.upstream import BackendConnection, Upstream
@@ -47,7 +47,7 @@
 def failing_once(inner: Callable[..., Any]) -> Callable[..., Any]:
     """The same method, raising on its first call; within its guard where it has one."""
     if hasattr(inner, "__wrapped__"):
-        return ends_connection(Once(inner.__wrapped__).method())
+        return closes_connection_on_error(Once(inner.__wrapped__).method())
     return Once(inner).method()
 
 
@@ -82,7 +82,7 @@
     (ClientConnection, "data_received", (b"",)),
     (ClientConnection, "on_header", (b"500",)),
     (ClientConnection, "on_message_complete", (b"500",)),
-    (ClientConnection, "_begin", (b"500",)),
+    (ClientConnection, "_start_request", (b"500",)),
     (ClientConnection, "answer", (b"500", b"502", b"")),
     (Node, "request", (b"500",)),
     (Node, "carry", (b"502",)),
@@ -249,8 +249,8 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             await one.until(lambda: one.server.connections)
             (conn,) = one.server.connections
-            conn.crashed("a test", Fault("after it was taken"))
-            conn.answer_empty(503, 0)
+            conn.close_on_error("a test", Fault("after it was taken"))
+            conn.send_empty_response(503, 0)
             data = await reader.read()
             assert data.count(b"HTTP/1.1") == 1 and data.startswith(b"HTTP/1.1 500 ")
             writer.close()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -174,7 +174,7 @@
         async def story() -> None:
             busy = await filled(w)
             leaver = w.client()
-            await w.until(lambda: w.one.server.fresh)
+            await w.until(lambda: w.one.server.awaiting_first_request)
             leaver.send(request(rid="left"))
             leaver.half_close()
             assert await leaver.status() == 503
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from windrelay.node import RESERVED
-from windrelay.server import KEPT_PART
+from windrelay.server import SOCKETS_PER_IDLE_CLIENT
 
 from .harness import (
     LIMIT,
@@ -152,7 +152,7 @@
 
 def test_clients_that_ask_once_and_stay_do_not_fill_the_places(tmp_path: Path) -> None:
     """Past a part of the descriptors at rest an answer says close; one that is used stays."""
-    kept = -(-(120 - RESERVED) // KEPT_PART)
+    kept = -(-(120 - RESERVED) // SOCKETS_PER_IDLE_CLIENT)
     with node(tmp_path, roster(), limits={"sockets": 120}) as n:
         probe = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
         told = []
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -229,12 +229,12 @@
             else:
                 s.run.stop()
                 client.send(request())
-            assert not s.run.server.finished()  # what lies unread is not closed over
+            assert not s.run.server.try_finish()  # what lies unread is not closed over
             await server.message()
             server.send(answer(b"2"))
             _, headers, body = await client.message()
             assert (body, headers["connection"]) == (b"2", "close")
-            await s.until(s.run.server.finished)
+            await s.until(s.run.server.try_finish)
 
         s.drive(story())
 
--- a/windrelay/__main__.py
+++ b/windrelay/__main__.py
@@ -28,12 +28,12 @@
 import uvloop  # noqa: E402
 
 from windrelay import succession  # noqa: E402
-from windrelay.assemble import HttpNode  # noqa: E402
 from windrelay.config import Config, ConfigError, load, reload  # noqa: E402
 from windrelay.discovery import ListError  # noqa: E402
+from windrelay.http_node import HttpNode  # noqa: E402
 from windrelay.management import Desk  # noqa: E402
 from windrelay.operate import Operated  # noqa: E402
-from windrelay.server import SWEEP_S, Server  # noqa: E402
+from windrelay.server import SWEEP_INTERVAL_S, Server  # noqa: E402
 
 # A stop. Connections go on coming for 0.4 s; the longest deadline, 3 s of it at the most, and
 # 0.7 s after SIGTERM the node may be killed.
@@ -76,7 +76,7 @@
         if estate:
             port = self.server.listen_on(estate.listener)
         else:
-            port = self.server.listen(self.config.listen, shared=path is not None)
+            port = self.server.listen(self.config.listen, reuse_port=path is not None)
         self.node.log(f"listening on {self.config.listen.host}:{port}")
         if path:
             await self.operated.succeed(path, estate or None)
@@ -92,7 +92,7 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(5_000, 10, 20)
-        self.loop.call_later(SWEEP_S, self.sweep)
+        self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         if signal.SIGHUP in _early:
             self.reload()  # the file may have been read before it was replaced
         if _early & {signal.SIGTERM, signal.SIGINT}:
@@ -139,7 +139,7 @@
         dropped = tuple(c for c in self.known_classes if c.name not in new)
         classes = config.settings.classes + dropped
         interim = replace(config, settings=replace(config.settings, classes=classes))
-        self.server.know(classes, self.node.reload(interim))
+        self.server.set_classes(classes, self.node.reload(interim))
         self.known_classes = classes
         self.config = config
         if dropped:
@@ -147,13 +147,15 @@
 
     def drop(self, config: Config) -> None:
         self.dropping = None
-        self.server.know(config.settings.classes, self.node.reload(config))
+        self.server.set_classes(config.settings.classes, self.node.reload(config))
         self.known_classes = config.settings.classes
 
     # ---- the end ------------------------------------------------------
 
     def sweep(self) -> None:
-        self.loop.call_later(SWEEP_S, self.sweep)  # first: the next comes whatever this one does
+        self.loop.call_later(
+            SWEEP_INTERVAL_S, self.sweep
+        )  # first: the next comes whatever this one does
         self.server.sweep()
         self.node.sweep()
         self.operated.sweep()
@@ -179,9 +181,9 @@
         late = self.loop.time() >= self.give_up_at
         if late:
             # Whatever is read from here on would be sent on and lost with the process.
-            self.server.over = True
+            self.server.refusing_requests = True
             self.node.fail_all()
-        if late or self.server.finished():
+        if late or self.server.try_finish():
             self.node.discovery.close()
             # One more turn, so that the last answers leave.
             self.loop.call_later(POLL_S, self.end)
--- a/windrelay/guard.py
+++ b/windrelay/guard.py
@@ -13,14 +13,14 @@
 from typing import Any, Protocol
 
 
-class Guarded(Protocol):
-    """What `ends_connection` asks of a connection."""
+class GuardedConnection(Protocol):
+    """What `closes_connection_on_error` asks of a connection."""
 
-    def crashed(self, where: str, error: BaseException) -> None:
+    def close_on_error(self, where: str, error: BaseException) -> None:
         """Count and log the error, settle what hangs on the connection, and close it."""
 
 
-def ends_connection(
+def closes_connection_on_error(
     callback: Callable[..., None],
 ) -> Callable[..., None]:
     """A method whose exception ends its connection; for callbacks off the hot path.
@@ -30,10 +30,10 @@
     """
 
     @wraps(callback)
-    def guarded(self: Guarded, *args: Any) -> None:
+    def guarded(self: GuardedConnection, *args: Any) -> None:
         try:
             callback(self, *args)
         except Exception as err:
-            self.crashed(callback.__name__, err)
+            self.close_on_error(callback.__name__, err)
 
     return guarded
--- a/windrelay/management.py
+++ b/windrelay/management.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable
 from typing import Protocol, cast
 
-from windrelay.guard import ends_connection
+from windrelay.guard import closes_connection_on_error
 
 MOST = 6  # connections at a time; what the node reserves must hold them
 LINE_MOST = 512  # bytes of a call
@@ -80,7 +80,7 @@
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
-    @ends_connection
+    @closes_connection_on_error
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
         self._timer = self._desk.loop.call_later(SILENT_S, self.end)
@@ -106,7 +106,7 @@
         self._transport.write(answer)
         self._transport.close()
 
-    @ends_connection
+    @closes_connection_on_error
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
         if self._timer is not None:
@@ -117,7 +117,7 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def crashed(self, where: str, error: BaseException) -> None:
+    def close_on_error(self, where: str, error: BaseException) -> None:
         self._desk.crashed(where, error)
         self.end()
 
--- a/windrelay/operate.py
+++ b/windrelay/operate.py
@@ -12,8 +12,8 @@
 
 from flinthatch import Balancer, Listing
 from flinthatch.recall import restore, save
-from windrelay.assemble import HttpNode
 from windrelay.discovery import backend_id
+from windrelay.http_node import HttpNode
 from windrelay.management import CallError
 from windrelay.node import RESERVED, RESERVED_MGMT
 from windrelay.server import Server
@@ -167,7 +167,7 @@
             self.older = False
             if not self.server.stopping:
                 self.node.log("the successor has ended")
-                self.server.take_back()
+                self.server.undo_hand_over()
                 self._wait()
 
     def _held(self) -> int:
--- a/windrelay/ports.py
+++ b/windrelay/ports.py
@@ -3,7 +3,7 @@
 The node knows requests by class, key, deadline and time; what a request says is a message that
 only the link for its protocol reads. A second protocol is a second caller and a second link:
 nothing in the node changes for it. HTTP's are in `server` and `upstream`, the list's in
-`discovery`; `assemble` puts them together.
+`discovery`; `http_node` puts them together.
 """
 
 from __future__ import annotations
--- a/windrelay/server.py
+++ b/windrelay/server.py
@@ -18,7 +18,7 @@
 import httptools
 
 from flinthatch import Effect, RequestClass
-from windrelay.guard import ends_connection
+from windrelay.guard import closes_connection_on_error
 
 if TYPE_CHECKING:
     from windrelay.config import Address
@@ -36,7 +36,7 @@
 # Patience with slow clients, in sweeps: a node that was stopped for a while must
 # not take its own absence for the clients'. A client that does not get to a whole
 # request is owed an error or a close within 3 s of connecting.
-SWEEP_S = 0.25
+SWEEP_INTERVAL_S = 0.25
 SILENT_SWEEPS = 8  # connected and nothing said
 REQUEST_SWEEPS = 9  # for a head, from connecting or a later request's first byte; then a body
 # gets as many again, and one more for each so many bytes beyond the first that have come.
@@ -49,7 +49,7 @@
 # 130 of them at rest two of three requests found no connection. Past this part an answer
 # says close. It could do harm where more clients than this ask in turn, each rarely: they
 # connect anew, as they do after IDLE_SWEEPS.
-KEPT_PART = 6  # one in so many
+SOCKETS_PER_IDLE_CLIENT = 6  # one in so many
 EVACUATE_SWEEPS = 2  # from the call to the first closes: the front has seen a no by then
 WRITE_SWEEPS = 12  # without a byte taken
 LINGER_SWEEPS = 4
@@ -57,7 +57,7 @@
 SILENT_S = 0.03  # a client connects in order to ask: what then says nothing may go
 # What accept says of the one connection it took from the queue (accept(2): errors that are
 # pending on the new socket already are passed on, and to be treated like EAGAIN).
-ONE_LESS = frozenset(
+ACCEPT_RETRY_ERRNOS = frozenset(
     (
         errno.ECONNABORTED, errno.ECONNRESET, errno.EPROTO, errno.EPIPE, errno.ETIMEDOUT,
         errno.ENETDOWN, errno.ENETUNREACH, errno.EHOSTDOWN, errno.EHOSTUNREACH,
@@ -85,7 +85,7 @@
     503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
-EMPTY = {
+EMPTY_RESPONSE_HEADS = {
     status: b"HTTP/1.1 %d %s\r\nContent-Length: 0\r\n" % (status, reason)
     for status, reason in REASONS.items()
 }
@@ -117,22 +117,22 @@
         self.status = status
 
 
-class Incoming:
+class IncomingRequest:
     """A request as it is read; `head` is what each attempt starts with."""
 
     __slots__ = (
-        "body", "chunked", "cls", "fields", "head", "hint", "keep_alive", "key", "length",
-        "lines", "method", "numbering", "old", "probe", "received", "reserved", "retried", "rid",
-        "size", "tenant", "timeout", "url",
+        "body", "body_size", "chunked", "classes_version", "cls", "head", "headers", "hint",
+        "is_probe", "keep_alive", "key", "length", "lines", "method", "old", "received",
+        "reserved", "retried", "rid", "tenant", "timeout", "url",
     )  # fmt: skip
 
     def __init__(self) -> None:
         self.url = b""
         self.method = b""
         self.lines: list[bytes] = []
-        self.fields: dict[bytes, bytes] = {}
+        self.headers: dict[bytes, bytes] = {}
         self.body: list[bytes] = []
-        self.size = 0
+        self.body_size = 0
         self.reserved = 0  # bytes of the node's budget
         self.rid = b""
         self.length = 0
@@ -140,7 +140,7 @@
         self.head = b""
         self.keep_alive = True
         self.old = False  # of HTTP/1.0: its answer knows no chunks
-        self.probe = False
+        self.is_probe = False
         self.cls = 0
         self.tenant = 0
         self.key = 0
@@ -148,7 +148,7 @@
         self.retried = False
         self.timeout = 0
         self.received = 0
-        self.numbering = 0  # of the classes that its head was held against
+        self.classes_version = 0  # of the classes that its head was held against
 
 
 class ClientConnection(asyncio.Protocol):
@@ -157,8 +157,8 @@
     __slots__ = (
         "_chunked", "_closing", "_dropped", "_eof", "_head_size", "_headers_done", "_incoming",
         "_keep_alive", "_lingering", "_old", "_parser", "_progress", "_request", "_server",
-        "_since", "_sock", "_source", "_transport", "_unframed", "_whole",
-        "_write_since", "counted",
+        "_since", "_sock", "_source", "_transport", "_unframed", "_whole", "_write_since",
+        "counted",
     )  # fmt: skip
 
     def __init__(self, server: Server, sock: socket.socket) -> None:
@@ -167,8 +167,8 @@
         self.counted = True  # among the node's clients, until it is lost
         self._transport: asyncio.Transport | None = None
         self._parser: httptools.HttpRequestParser | None = None
-        self._incoming: Incoming | None = None
-        self._whole: Incoming | None = None  # read, and not begun yet
+        self._incoming: IncomingRequest | None = None
+        self._whole: IncomingRequest | None = None  # read, and not begun yet
         self._request: Request | None = None
         self._headers_done = False
         self._head_size = 0
@@ -187,7 +187,7 @@
 
     # ---- reading ------------------------------------------------------
 
-    @ends_connection
+    @closes_connection_on_error
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         if not self.counted:
             cast(asyncio.Transport, transport).abort()  # its welcome was given up
@@ -195,7 +195,7 @@
         self._transport = cast(asyncio.Transport, transport)
         self._parser = httptools.HttpRequestParser(self)
         self._server.connections.add(self)
-        self._server.fresh[self] = self._server.node.loop.time()
+        self._server.awaiting_first_request[self] = self._server.node.loop.time()
 
     def data_received(self, data: bytes) -> None:
         parser = self._parser
@@ -215,7 +215,7 @@
             if isinstance(cause, BadRequest):
                 self._reject(cause.status, cause)
             else:
-                self.crashed("reading a request", cause or err)
+                self.close_on_error("reading a request", cause or err)
             return
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as err:
             self._reject(400, err)
@@ -223,9 +223,9 @@
         whole, self._whole = self._whole, None
         if whole is not None:
             try:
-                self._begin(whole)
+                self._start_request(whole)
             except Exception as err:
-                self.crashed("a request", err)
+                self.close_on_error("a request", err)
         elif not self._headers_done and self._head_size > MAX_HEAD:
             self._reject(431)
 
@@ -236,9 +236,9 @@
             # the first one's body: none of it is served. It could harm clients that
             # pipeline, which the protocol does not know.
             raise BadRequest(400, "a request ahead of the answer")
-        self._incoming = Incoming()
+        self._incoming = IncomingRequest()
         self._headers_done = False
-        if self._server.fresh.pop(self, None) is None:  # not its first request
+        if self._server.awaiting_first_request.pop(self, None) is None:  # not its first request
             self._since = self._server.sweeps
         self._server.idle.pop(self, None)
 
@@ -255,9 +255,9 @@
         # of it, a class or a number was not known.
         value = value.strip(b" \t")
         if lower in READ:
-            if lower in incoming.fields and lower != b"connection":
+            if lower in incoming.headers and lower != b"connection":
                 raise BadRequest(400, f"{lower!r} twice")  # which of the two would be meant?
-            incoming.fields[lower] = value
+            incoming.headers[lower] = value
         if lower not in NOT_PASSED_ON:
             incoming.lines.append(b"%s: %s\r\n" % (name, value))
 
@@ -287,12 +287,12 @@
         if incoming.length or incoming.chunked:
             self._since = self._server.sweeps
         if (incoming.length or incoming.chunked) and (
-            incoming.fields.get(b"expect", b"").lower() == b"100-continue"
+            incoming.headers.get(b"expect", b"").lower() == b"100-continue"
         ):
             assert self._transport is not None
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _reserve(self, incoming: Incoming, size: int) -> None:
+    def _reserve(self, incoming: IncomingRequest, size: int) -> None:
         """Take so many bytes of the budget, as the head says or as chunks come.
 
         A crowd of bodies that fit one by one must not take the node's memory. None of
@@ -313,10 +313,10 @@
     def on_body(self, body: bytes) -> None:
         incoming = self._incoming
         assert incoming is not None
-        incoming.size += len(body)
-        if incoming.size > MAX_BODY:
+        incoming.body_size += len(body)
+        if incoming.body_size > MAX_BODY:
             raise BadRequest(413)
-        self._reserve(incoming, incoming.size)
+        self._reserve(incoming, incoming.body_size)
         incoming.body.append(body)
 
     def on_message_complete(self) -> None:
@@ -329,9 +329,9 @@
         info = self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
         (unread_ms,) = LAST_DATA_RECEIVED.unpack(info)
         incoming.received = time.monotonic_ns() - unread_ms * MS
-        if not incoming.probe:
-            if incoming.method == b"POST" or incoming.size:
-                incoming.lines.append(b"Content-Length: %d\r\n" % incoming.size)
+        if not incoming.is_probe:
+            if incoming.method == b"POST" or incoming.body_size:
+                incoming.lines.append(b"Content-Length: %d\r\n" % incoming.body_size)
             lines = b"".join(incoming.lines)
             incoming.head = b"%s %s HTTP/1.1\r\n%sX-Timeout-Ms: " % (
                 incoming.method,
@@ -342,11 +342,11 @@
         # Begun once all that came with it has been read: it may not be alone.
         self._whole = incoming
 
-    def _up_to_date(self, incoming: Incoming) -> bool:
+    def _revalidate_head(self, incoming: IncomingRequest) -> bool:
         """Hold the head against the classes again where they have changed since it was read:
         its body was slow. False where it was turned away for it."""
         server = self._server
-        if incoming.numbering == server.numbering or incoming.probe:
+        if incoming.classes_version == server.classes_version or incoming.is_probe:
             return True
         try:
             server.read_head(incoming)
@@ -356,31 +356,33 @@
             return False
         return True
 
-    def _begin(self, incoming: Incoming) -> None:
-        if not self._up_to_date(incoming):
+    def _start_request(self, incoming: IncomingRequest) -> None:
+        if not self._revalidate_head(incoming):
             return
         self._keep_alive = incoming.keep_alive
         self._old = incoming.old
         node = self._server.node
-        if incoming.probe:
+        if incoming.is_probe:
             server = self._server
-            self._write_head(EMPTY[503] if server.stopping or server.evacuated else READY)
+            self._write_head(
+                EMPTY_RESPONSE_HEADS[503] if server.stopping or server.evacuated else READY
+            )
             return
-        if self._server.over:
+        if self._server.refusing_requests:
             node.budget.give(incoming.reserved)
-            self.answer_empty(503, 0)
+            self.send_empty_response(503, 0)
             return
         if node.repeated(incoming.rid):
             node.budget.give(incoming.reserved)
             self._reject(400, "the id of another request")
             return
-        incoming.fields = READ_ALREADY  # the rest is kept as long as the request is
+        incoming.headers = READ_ALREADY  # the rest is kept as long as the request is
         waited = time.monotonic_ns() - incoming.received
         # Set first: the answer may come before the call returns.
         request = node.request(self, incoming, waited)
         if request is None:
             node.budget.give(incoming.reserved)
-            self.answer_empty(503, 0)
+            self.send_empty_response(503, 0)
         elif not request.ended:
             self._request = request
 
@@ -454,23 +456,23 @@
         if self._source is not None:
             self._source.go_on()
 
-    def answer_empty(self, status: int, retry_after: int) -> None:
-        head = EMPTY[status]
+    def send_empty_response(self, status: int, retry_after: int) -> None:
+        head = EMPTY_RESPONSE_HEADS[status]
         if retry_after:
             head += b"Retry-After: %.3f\r\n" % (retry_after / 1e9)
         self._write_head(head)
 
     def refused(self, retry_after: int) -> None:
-        self.answer_empty(503, retry_after)
+        self.send_empty_response(503, retry_after)
 
     def failed(self, late: bool) -> None:
-        self.answer_empty(504 if late else 502, 0)
+        self.send_empty_response(504 if late else 502, 0)
 
     def _closes(self) -> bool:
         server = self._server
         return (
             not self._keep_alive
-            or len(server.idle) * KEPT_PART >= server.node.sockets
+            or len(server.idle) * SOCKETS_PER_IDLE_CLIENT >= server.node.sockets
             or self._eof
             or server.stopping
             or server.evacuated
@@ -494,7 +496,7 @@
             self._since = self._server.sweeps
             self._server.idle[self] = None
 
-    def crashed(self, where: str, error: BaseException) -> None:
+    def close_on_error(self, where: str, error: BaseException) -> None:
         """An exception in a callback: its client is told of a failure, and the connection ends."""
         self._server.node.crashed(where, error)
         if self._transport is not None:
@@ -518,7 +520,7 @@
         request, self._request = self._request, None
         transport = self._transport
         if transport is not None and not transport.is_closing():
-            transport.write(EMPTY[status] + b"Connection: close\r\n\r\n")
+            transport.write(EMPTY_RESPONSE_HEADS[status] + b"Connection: close\r\n\r\n")
             self._end()
         if request is not None:
             self._server.node.client_gone(request)
@@ -556,7 +558,7 @@
             self._server.node.client_half_closed(self._request)
         return self._request is not None
 
-    @ends_connection
+    @closes_connection_on_error
     def connection_lost(self, exc: Exception | None) -> None:
         if not self.counted:
             return
@@ -626,7 +628,7 @@
             return
         incoming = self._incoming
         if incoming is not None and sweep - self._since > REQUEST_SWEEPS:
-            more = max(incoming.size - BODY_FREE, 0) // BODY_A_SWEEP
+            more = max(incoming.body_size - BODY_FREE, 0) // BODY_A_SWEEP
             if sweep - self._since > REQUEST_SWEEPS + more:
                 self._reject(408, "not whole in time")
                 return
@@ -650,45 +652,45 @@
         self.connections: set[ClientConnection] = set()
         # What can be given up, longest first: those that never asked, that rest between
         # requests, and that have their last answer.
-        self.fresh: dict[ClientConnection, float] = {}
+        self.awaiting_first_request: dict[ClientConnection, float] = {}
         self.idle: dict[ClientConnection, None] = {}
         self.lingering: dict[ClientConnection, None] = {}
         self.sweeps = 0
-        self.numbering = 0  # grows with each new numbering of the classes
+        self.classes_version = 0  # grows with each new numbering of the classes
         self.stopping = False
-        self.over = False  # the process is about to end: nothing more is begun
+        self.refusing_requests = False  # the process is about to end: nothing more is begun
         self.evacuated = False  # by an operator's word, until another
         self._evacuated_since = 0
         self.handed = False  # a successor takes clients from the same socket
-        self._paused = False
+        self._accept_paused = False
         self._retry: asyncio.TimerHandle | None = None
         self._turned_away = 0
         self._why = ""
-        self._tasks: set[asyncio.Task[Any]] = set()
-        self._sock: socket.socket | None = None
+        self._accept_tasks: set[asyncio.Task[Any]] = set()
+        self._listener: socket.socket | None = None
         settings = node.config.settings
-        self.know(settings.classes, {c.name: i for i, c in enumerate(settings.classes)})
+        self.set_classes(settings.classes, {c.name: i for i, c in enumerate(settings.classes)})
         self._tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
         node.freed = self.freed
         node.evict = self.evict
 
-    def know(self, classes: Iterable[RequestClass], numbers: Mapping[str, int]) -> None:
+    def set_classes(self, classes: Iterable[RequestClass], numbers: Mapping[str, int]) -> None:
         """What a head is held against: the classes, and the numbers they are told by."""
-        self.numbering += 1
+        self.classes_version += 1
         rows = {numbers[c.name]: c for c in classes}
         self._classes = {c.name.encode(): i for i, c in rows.items()}
         self._deadlines = {i: c.deadline for i, c in rows.items()}
         self._methods = {i: b"GET" if c.effect == Effect.PURE else b"POST" for i, c in rows.items()}
 
-    def listen(self, address: Address, shared: bool = False) -> int:
+    def listen(self, address: Address, reuse_port: bool = False) -> int:
         """Take connections at this address; returns the port.
 
-        With `shared` another process of ours may listen there too, see `succession`.
+        With `reuse_port` another process of ours may listen there too, see `succession`.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            if shared:
+            if reuse_port:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             sock.bind(address)
             sock.listen(BACKLOG)
@@ -699,26 +701,26 @@
 
     def listen_on(self, sock: socket.socket) -> int:
         """Take connections from this socket, which listens already; returns the port."""
-        self._sock = sock
+        self._listener = sock
         self.node.loop.add_reader(sock, self._accept)
         return int(sock.getsockname()[1])
 
     @property
     def listener(self) -> socket.socket | None:
-        return self._sock
+        return self._listener
 
     def hand_over(self) -> None:
         """Take no more clients: a successor does, from the same socket, and none is turned away."""
-        if not self.handed and self._sock is not None:
+        if not self.handed and self._listener is not None:
             self.handed = True
-            self.node.loop.remove_reader(self._sock)
+            self.node.loop.remove_reader(self._listener)
 
-    def take_back(self) -> None:
+    def undo_hand_over(self) -> None:
         """The successor has ended before us."""
-        if self.handed and self._sock is not None:
+        if self.handed and self._listener is not None:
             self.handed = False
-            self._paused = False
-            self.node.loop.add_reader(self._sock, self._accept)
+            self._accept_paused = False
+            self.node.loop.add_reader(self._listener, self._accept)
 
     def evacuate(self) -> None:
         """Say no to the front, close what rests, and each connection with its next answer."""
@@ -731,14 +733,14 @@
 
     def _accept(self) -> None:
         for _ in range(ACCEPTS):
-            if self._sock is None or self.handed or not self._room():
+            if self._listener is None or self.handed or not self._room():
                 return
             try:
-                sock, _address = self._sock.accept()
+                sock, _address = self._listener.accept()
             except BlockingIOError:
                 return
             except OSError as err:
-                if err.errno in ONE_LESS:
+                if err.errno in ACCEPT_RETRY_ERRNOS:
                     continue  # one that waited has gone; those behind it have not
                 # Descriptors are budgeted, but the system may be short of other
                 # things: the accept loop must outlive that.
@@ -747,20 +749,20 @@
                 return
             self.node.clients += 1
             sock.setblocking(False)
-            self._welcome(sock, ClientConnection(self, sock))
+            self._attach_transport(sock, ClientConnection(self, sock))
 
-    def _welcome(self, sock: socket.socket, conn: ClientConnection) -> None:
+    def _attach_transport(self, sock: socket.socket, conn: ClientConnection) -> None:
         """Hand an accepted socket over to a transport; see glance for who owns it when."""
         loop = self.node.loop
         task = loop.create_task(loop.connect_accepted_socket(lambda: conn, sock))
-        self._tasks.add(task)
+        self._accept_tasks.add(task)
         task.add_done_callback(lambda task: self._welcomed(task, sock, conn))
 
     def _welcomed(
         self, task: asyncio.Task[Any], sock: socket.socket, conn: ClientConnection
     ) -> None:
         """Not within the task: one that is cancelled before its first turn runs none of itself."""
-        self._tasks.discard(task)
+        self._accept_tasks.discard(task)
         err = None if task.cancelled() else task.exception()
         if not task.cancelled() and err is None:
             return
@@ -785,9 +787,9 @@
             self.node.upstream.drop_oldest()
 
     def _pause(self) -> None:
-        if self._sock is not None and not self._paused and not self.handed:
-            self._paused = True
-            self.node.loop.remove_reader(self._sock)
+        if self._listener is not None and not self._accept_paused and not self.handed:
+            self._accept_paused = True
+            self.node.loop.remove_reader(self._listener)
             if self._retry is None:
                 self._retry = self.node.loop.call_later(SILENT_S, self._again)
 
@@ -796,19 +798,19 @@
         self._retry = None
         try:
             self.freed()
-            if self._paused and self._sock is not None and not self.handed:
+            if self._accept_paused and self._listener is not None and not self.handed:
                 self.make_room()
         finally:
-            if self._paused and self._sock is not None and not self.handed:
+            if self._accept_paused and self._listener is not None and not self.handed:
                 self._retry = self.node.loop.call_later(SILENT_S, self._again)
 
     def freed(self) -> None:
         """A descriptor has come free: accept again."""
         if self.handed:
             return
-        if self._paused and self._sock is not None and self.node.room_for_client():
-            self._paused = False
-            self.node.loop.add_reader(self._sock, self._accept)
+        if self._accept_paused and self._listener is not None and self.node.room_for_client():
+            self._accept_paused = False
+            self.node.loop.add_reader(self._listener, self._accept)
 
     def evict(self) -> bool:
         """Close the connections that can best be missed; False where there are none.
@@ -819,7 +821,7 @@
         """
         found = 0
         before = self.node.loop.time() - SILENT_S
-        silent = (conn for conn, since in self.fresh.items() if since < before)
+        silent = (conn for conn, since in self.awaiting_first_request.items() if since < before)
         for conn in list(islice(chain(self.lingering, silent, self.idle), LOOKED_AT)):
             if conn in self.lingering or conn.resting():
                 conn.close()
@@ -829,7 +831,7 @@
         return found > 0
 
     def rests_no_more(self, conn: ClientConnection) -> None:
-        self.fresh.pop(conn, None)
+        self.awaiting_first_request.pop(conn, None)
         self.idle.pop(conn, None)
         self.lingering.pop(conn, None)
 
@@ -847,8 +849,8 @@
             try:
                 conn.sweep(self.sweeps)
             except Exception as err:
-                conn.crashed("a sweep", err)
-        self.close_rested(self.fresh, SILENT_SWEEPS)
+                conn.close_on_error("a sweep", err)
+        self.close_rested(self.awaiting_first_request, SILENT_SWEEPS)
         # Clients that asked once and stay cost memory and a descriptor each, for good.
         short = 2 * self.node.clients > self.node.sockets
         self.close_rested(self.idle, SHORT_IDLE_SWEEPS if short else IDLE_SWEEPS)
@@ -860,7 +862,7 @@
 
         The front goes on sending connections for a moment after it was told no.
         """
-        for conn in [*self.idle, *(c for c in self.fresh if c.rested(2))]:
+        for conn in [*self.idle, *(c for c in self.awaiting_first_request if c.rested(2))]:
             if conn.resting():
                 conn.close()
 
@@ -878,34 +880,34 @@
 
         False where descriptors are too short for that by now: what waits would be reset.
         """
-        sock = self._sock
+        sock = self._listener
         if sock is None:
             return True
         if not self.handed:
             for _ in range(BACKLOG // ACCEPTS):
                 self._accept()
-            if self._paused:
+            if self._accept_paused:
                 return False
             self._pause()
-        self._sock = None
+        self._listener = None
         sock.close()
         return True
 
-    def finished(self) -> bool:
+    def try_finish(self) -> bool:
         """Whether a stop can end: nothing is open and nothing lies unread.
 
         A connection at rest is closed, and only then: a kept one may carry another
         request until it is, and one just made is about to.
         """
         self.close_resting()
-        return not self._tasks and all(conn.finished() for conn in self.connections)
+        return not self._accept_tasks and all(conn.finished() for conn in self.connections)
 
     # ---- heads --------------------------------------------------------
 
-    def read_head(self, incoming: Incoming) -> None:
+    def read_head(self, incoming: IncomingRequest) -> None:
         """Check a head and fill in what the module wants to know; BadRequest if it is unfit."""
-        fields = incoming.fields
-        incoming.numbering = self.numbering
+        fields = incoming.headers
+        incoming.classes_version = self.classes_version
         path = incoming.url.partition(b"?")[0]
         coding = fields.get(b"transfer-encoding")
         incoming.chunked = coding is not None
@@ -919,7 +921,7 @@
         incoming.length = int(length)
         parts = path.split(b"/")
         if path == b"/health/ready":
-            incoming.probe = True
+            incoming.is_probe = True
             if incoming.method != b"GET" or incoming.length or incoming.chunked:
                 raise BadRequest(400)
             return
--- a/windrelay/upstream.py
+++ b/windrelay/upstream.py
@@ -16,11 +16,11 @@
 from flinthatch import Outcome
 from windrelay.config import Address
 from windrelay.glance import Glance, unread
-from windrelay.guard import ends_connection
+from windrelay.guard import closes_connection_on_error
 from windrelay.ports import Streamed
 
 if TYPE_CHECKING:
-    from windrelay.assemble import HttpNode
+    from windrelay.http_node import HttpNode
     from windrelay.node import Attempt
 
 HELD_BODY = 64 << 10  # of an answer that is held until it is whole; more is passed on as it comes
@@ -139,7 +139,7 @@
         host, port = self.address
         await loop.create_connection(lambda: self, host, port, family=socket.AF_INET)
 
-    @ends_connection
+    @closes_connection_on_error
     def _dialled(self, task: asyncio.Task[None]) -> None:
         """However dialling ended. On each failure the loop has closed what it made."""
         self._task = None
@@ -154,7 +154,7 @@
             self.upstream.node.crashed("a dial", error)
         self._broken()
 
-    @ends_connection
+    @closes_connection_on_error
     def _dial_expired(self, turns: int) -> None:
         if self._closed or self.transport is not None:
             return
@@ -163,7 +163,7 @@
         else:
             self._broken()
 
-    @ends_connection
+    @closes_connection_on_error
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.upstream.dials.discard(self)
@@ -207,14 +207,14 @@
             left = attempt.sent + attempt.limit - time.monotonic_ns()
             asked = r.asked
             head = b"%s%d\r\n\r\n" % (asked.head, max(left // MS, 1))
-            if asked.size <= PIECE:
+            if asked.body_size <= PIECE:
                 head = b"".join((head, *asked.body))
         transport = self.transport
         assert transport is not None
         # Mostly one write, never more than a head and 64 KiB. Where the write itself fails the
         # kernel took nothing, so the last byte never left: connection_lost tells the outcome.
         # A rest may wait above the kernel, but how much is in doubt from here on.
-        if r is None or r.asked.size <= PIECE:
+        if r is None or r.asked.body_size <= PIECE:
             transport.write(head)
             self.written = not transport.is_closing()
             return
@@ -287,7 +287,7 @@
             self._answered()
         return False
 
-    @ends_connection
+    @closes_connection_on_error
     def _rest_expired(self) -> None:
         self._rest_timer = None
         if self.attempt is None:
@@ -445,7 +445,7 @@
         self._keep_alive = self.parser.should_keep_alive()
         self._complete = True
 
-    @ends_connection
+    @closes_connection_on_error
     def connection_lost(self, exc: Exception | None) -> None:
         if self._glance is not None:
             self._glance.end()
@@ -472,7 +472,7 @@
             f"{self._got} bytes of an answer, written {self.written}"
         )
 
-    def crashed(self, where: str, error: BaseException) -> None:
+    def close_on_error(self, where: str, error: BaseException) -> None:
         """An exception in a callback: a break of this connection, and no more."""
         self.upstream.node.crashed(where, error)
         self._broken()
