--- a/flinthatch/__init__.py
+++ b/flinthatch/__init__.py
@@ -1,7 +1,7 @@
 """Decisions of an HTTP load balancer; see README.md for the interface."""
 
 from flinthatch.balancer import Balancer
-from flinthatch.terms import (
+from flinthatch.interface import (
     Actions,
     Effect,
     Listing,
--- a/flinthatch/balancer.py
+++ b/flinthatch/balancer.py
@@ -16,7 +16,7 @@
 from heapq import heappop, heappush
 from random import Random
 
-from flinthatch.terms import (
+from flinthatch.interface import (
     MS,
     SECOND,
     Actions,
@@ -211,7 +211,7 @@
     def __init__(self, number: int, spec: RequestClass, tenants: int) -> None:
         self.number = number
         self.spec = spec
-        self.aim = spec.aim
+        self.aim = spec.latency_target
         self.effect = spec.effect
         # Lines may hold requests that have ended; `counts` tells who still waits.
         self.lines: list[deque[Request]] = [deque() for _ in range(max(1, tenants))]
@@ -226,7 +226,7 @@
         self.running = 0
         self.share = 1
         self.clock = 0.0  # the turn that was served last
-        self.lat = spec.aim / 4.0
+        self.lat = spec.latency_target / 4.0
         self.lat_n = 0.0
         self.base = 0.0  # mean attempt latency when uncrowded
         self.arrivals = 0.0
@@ -334,7 +334,7 @@
         self.wake_at = 0
         # Quotas: this node's part of each tenant's rate, as a bucket of one second.
         self.quota = [t.quota_per_s / settings.balancers / SECOND for t in settings.tenants]
-        self.stride = [1.0 / max(t.portion, 1e-6) for t in settings.tenants]
+        self.stride = [1.0 / max(t.share, 1e-6) for t in settings.tenants]
         self.credit = [max(q * SECOND, 1.0) for q in self.quota]
         self.credit_at = [0] * tenants
         self.retry_credit = self.retry_most = RETRY_BURST
@@ -419,12 +419,12 @@
             backend = Backend(row, row.zone == self.settings.zone)
             self.backends[row.backend] = backend
             self.enter_state(backend, row.state)
-            if row.boot and now - row.boot < self.settings.cold:
-                backend.cold_until = row.boot + self.settings.cold
+            if row.boot and now - row.boot < self.settings.slow_start:
+                backend.cold_until = row.boot + self.settings.slow_start
         else:
             if row.state != State.GONE and row.boot and row.boot != backend.boot:
                 backend.boot = row.boot
-                backend.cold_until = max(backend.cold_until, row.boot + self.settings.cold)
+                backend.cold_until = max(backend.cold_until, row.boot + self.settings.slow_start)
                 if backend.ejected_until:
                     self.reopen(backend)
             self.enter_state(backend, row.state)
@@ -444,7 +444,7 @@
         """End a ban. Nobody bans a backend but to restart it: it comes back cold."""
         b = self.backends.get(backend)
         if b is not None and backend in self.banned:
-            b.cold_until = max(b.cold_until, now + self.settings.cold)
+            b.cold_until = max(b.cold_until, now + self.settings.slow_start)
         self.banned.discard(backend)
         self.turn(now, backend)
 
@@ -595,8 +595,8 @@
             return  # told twice: one answer is owed, not two
         c = self.classes[cls]
         r = Request(request, c, now, left, tenant)
-        if c.spec.aim_stretch and hint:
-            r.aim_at = now + min(c.aim + int(c.spec.aim_stretch * hint), c.spec.deadline)
+        if c.spec.target_stretch and hint:
+            r.aim_at = now + min(c.aim + int(c.spec.target_stretch * hint), c.spec.deadline)
         r.hint = hint
         self.requests[request] = r
         c.arrivals += 1
@@ -616,7 +616,7 @@
                 # must not hold the slots that those in time need.
                 r.aim_at = now + c.aim
                 r.over = True
-                if c.spec.late_worth <= 0 and self.refuses_late(now):
+                if c.spec.late_value <= 0 and self.refuses_late(now):
                     # Here nobody may wait behind it, and at the servers others do: 200 nodes
                     # that each had a slot free for it served one in eight late, and the
                     # next first tries were refused, came again and were late in their turn.
@@ -628,7 +628,7 @@
         r.wait_by = now + max(int(slack * WAIT_PART), 0)
         if self.quota:
             r.over = self.beyond_quota(now, tenant) or r.over
-        if client_retry and c.spec.late_worth <= 0 and self.settings.max_retry_after > c.aim:
+        if client_retry and c.spec.late_value <= 0 and self.settings.max_retry_after > c.aim:
             # Told to stay away for longer than its aim, a client that comes again
             # is late by its first try: its answer is worth least.
             r.over = True
@@ -839,7 +839,7 @@
     def send(self, now: int, r: Request, b: Backend) -> None:
         c = r.cls
         end = r.give_up
-        if c.spec.late_worth <= 0:
+        if c.spec.late_value <= 0:
             end = min(end, r.aim_at - int(c.aim * AIM_MARGIN))
         limit = max(end - now, MS)
         if not r.attempts:
@@ -865,8 +865,8 @@
         """Space out what a cold backend gets, to this node's part of its budget."""
         s = self.settings
         usual = self.send_rate * s.balancers / max(self.ready, 1)
-        rate = COLD_SAFETY * s.fall_multiple * self.warmth(b) * usual
-        most = s.fall * self.instances
+        rate = COLD_SAFETY * s.overload_factor * self.warmth(b) * usual
+        most = s.overload_window * self.instances
         gap = most if rate <= 0 else min(int(SECOND * b.takers / rate), most)
         b.rest_until = now + gap
         self.remind(b.rest_until, b)
@@ -874,8 +874,8 @@
     def warmth(self, b: Backend) -> float:
         """The part of its capacity a cold backend is guessed to have by now."""
         s = self.settings
-        warm = 1.0 - (b.cold_until - self.now) / max(s.cold, 1)
-        return s.cold_from + (1.0 - s.cold_from) * max(0.0, min(1.0, warm))
+        warm = 1.0 - (b.cold_until - self.now) / max(s.slow_start, 1)
+        return s.slow_start_fraction + (1.0 - s.slow_start_fraction) * max(0.0, min(1.0, warm))
 
     def remind(self, due: int, item: Request | Backend) -> None:
         """Look at a queued request or a resting backend again at `due`."""
@@ -909,8 +909,8 @@
         comes back at once can still be answered in time.
         """
         s = self.settings
-        late = r.cls.spec.late_worth <= 0 and s.max_retry_after > r.cls.aim
-        return 0 if late and not s.marks_retry else s.max_retry_after
+        late = r.cls.spec.late_value <= 0 and s.max_retry_after > r.cls.aim
+        return 0 if late and not s.clients_mark_retries else s.max_retry_after
 
     def may_refuse(self, r: Request) -> bool:
         if r.cls.effect == Effect.PURE:
@@ -929,7 +929,7 @@
             return True
         if r.cls.effect == Effect.SIDE_EFFECT:
             return False
-        return now < r.ran.sent + r.cls.spec.window
+        return now < r.ran.sent + r.cls.spec.retry_window
 
     def may_begin(self, now: int, request: int, attempt: int) -> bool:
         """Whether an attempt that has not left yet, its connection being made, may do so now."""
@@ -940,7 +940,7 @@
             return False
         if r.ran is None or r.cls.effect != Effect.TOKEN:
             return True
-        return now < r.ran.sent + r.cls.spec.window
+        return now < r.ran.sent + r.cls.spec.retry_window
 
     # ---- outcomes -----------------------------------------------------
 
@@ -1109,7 +1109,7 @@
         b.backoff = min(b.backoff * 2, BACKOFF_MAX)
         if restarted:
             # Its process may be replaced before the list says so.
-            b.cold_until = b.ejected_until + self.settings.cold
+            b.cold_until = b.ejected_until + self.settings.slow_start
         self.say(now, f"backend {b.id} out: {why}")
         self.ejected += 1
         self.remind(b.ejected_until, b)
@@ -1294,7 +1294,7 @@
             if seen:
                 old /= max(c.total / seen, LEAST_SERVED)
             rate = c.arrivals / (c.cycles * CYCLE / SECOND)
-            flows.append((rate, mean / SECOND, old, c.aim / SECOND, c.spec.worth))
+            flows.append((rate, mean / SECOND, old, c.aim / SECOND, c.spec.value))
             c.arrivals *= DECAY
             c.refused *= DECAY
             c.responses *= DECAY
--- a/flinthatch/terms.py
+++ b/flinthatch/interface.py
@@ -46,7 +46,7 @@
     CONNECT_FAILED = 5
     RESET = 6
     CANCELLED = 7
-    MOOT = 8
+    NOT_SENT = 8
 
 
 class Listing(NamedTuple):
@@ -64,21 +64,21 @@
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str
-    aim: int
+    latency_target: int
     deadline: int
     effect: Effect = Effect.PURE
     scope: Scope = Scope.ALL
-    window: int = 0
-    worth: float = 1.0
-    late_worth: float = 0.0
+    retry_window: int = 0
+    value: float = 1.0
+    late_value: float = 0.0
     stream: bool = False
-    aim_stretch: float = 0.0
+    target_stretch: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
     name: str
-    portion: float = 1.0
+    share: float = 1.0
     quota_per_s: float = 0.0
 
 
@@ -96,22 +96,22 @@
     ask: bool = False
     ask_within: int = 10 * SECOND
     drain_grace: int = SECOND
-    cold_from: float = 0.1
-    cold: int = 10 * SECOND
-    fall_multiple: float = 3.0
-    fall: int = 2 * SECOND
+    slow_start_fraction: float = 0.1
+    slow_start: int = 10 * SECOND
+    overload_factor: float = 3.0
+    overload_window: int = 2 * SECOND
     answer_slack: int = 0
     max_attempts: int = 1
-    second_copies: bool = False
+    allow_hedging: bool = False
     can_cancel: bool = False
     can_probe: bool = False
     max_retry_after: int = 0
-    marks_retry: bool = False
+    clients_mark_retries: bool = False
     connect_timeout: int = 250 * MS
     tick: int = MS
-    worst_class: float = 0.0
+    worst_class_weight: float = 0.0
     cross_zone_price: float = 0.0
-    rated: bool = False
+    weighted: bool = False
 
     def __post_init__(self) -> None:
         if not self.classes:
@@ -119,7 +119,7 @@
         if self.balancers < 1:
             raise ValueError("balancers must be at least 1")
         for c in self.classes:
-            if c.aim <= 0 or c.deadline <= 0:
+            if c.latency_target <= 0 or c.deadline <= 0:
                 raise ValueError(f"class {c.name!r} needs an aim and a deadline above 0")
 
 
--- a/flinthatch/recall.py
+++ b/flinthatch/learned_state.py
@@ -13,29 +13,29 @@
 from typing import Any
 
 from flinthatch.balancer import BACKOFF, BACKOFF_MAX, MAX_LIMIT, MIN_LIMIT, Backend, Balancer
-from flinthatch.terms import MS, SECOND, State
+from flinthatch.interface import MS, SECOND, State
 
 FORMAT = 1
 # Health and the concurrency limit: longer than the longest time a server is ejected, so that a
 # quick restart forgets none; not much longer, since servers are replaced and loads change.
-HEALTH_AGE = 60 * SECOND
+MAX_HEALTH_AGE_NS = 60 * SECOND
 # Latencies of classes change with the servers' work, over hours; they are corrected by the
 # first answers. Past this a guess is as good.
-LATENCY_AGE = 10 * 60 * SECOND
-LEAST_EJECTED = 100 * MS  # of a time that is nearly over: it ends with a trial, as ever
+MAX_LATENCY_AGE_NS = 10 * 60 * SECOND
+MIN_EJECTION_NS = 100 * MS  # of a time that is nearly over: it ends with a trial, as ever
 ANSWERS = 20.0  # that a recalled latency counts as: the next ones still move it
 
 
 @dataclass(frozen=True, slots=True)
-class Recalled:
+class RestoreResult:
     """What came of a record; `why` says what was not believed, and is empty otherwise."""
 
     ejected: int = 0
     latencies: int = 0
-    why: str = ""
+    reason: str = ""
 
 
-def save(balancer: Balancer, now: int, wall: int) -> dict[str, Any]:
+def export_learned_state(balancer: Balancer, now: int, wall: int) -> dict[str, Any]:
     """The record, of JSON's types. `now` is the module's clock, `wall` Unix time; nanoseconds.
 
     The difference of the two has to be the one with which the host reads its list's starts:
@@ -67,20 +67,22 @@
     }
 
 
-def restore(balancer: Balancer, now: int, wall: int, record: object) -> Recalled:
+def restore_learned_state(balancer: Balancer, now: int, wall: int, record: object) -> RestoreResult:
     """Take a record into a Balancer that has just been told its list. Never raises on a
     record, whatever it holds: it is believed in parts, or not at all."""
     if not isinstance(record, dict) or record.get("format") != FORMAT:
-        return Recalled(why=f"not a record of format {FORMAT}")
+        return RestoreResult(reason=f"not a record of format {FORMAT}")
     age = wall - number(record.get("saved"), -1.0)
     if age < 0:
-        return Recalled(why="it is from the future: the clock was set back")
-    if age > LATENCY_AGE:
-        return Recalled(why=f"it is {age / SECOND:.0f} s old, {LATENCY_AGE // SECOND} at most")
+        return RestoreResult(reason="it is from the future: the clock was set back")
+    if age > MAX_LATENCY_AGE_NS:
+        return RestoreResult(
+            reason=f"it is {age / SECOND:.0f} s old, {MAX_LATENCY_AGE_NS // SECOND} at most"
+        )
     latencies = recall_latencies(balancer, record.get("classes"))
-    if age > HEALTH_AGE:
-        why = f"health is {age / SECOND:.0f} s old, {HEALTH_AGE // SECOND} at most"
-        return Recalled(0, latencies, why)
+    if age > MAX_HEALTH_AGE_NS:
+        why = f"health is {age / SECOND:.0f} s old, {MAX_HEALTH_AGE_NS // SECOND} at most"
+        return RestoreResult(0, latencies, why)
     balancer.concurrency_limit = max(
         MIN_LIMIT, min(number(record.get("level"), balancer.concurrency_limit), MAX_LIMIT)
     )
@@ -90,7 +92,7 @@
     rows = record.get("backends")
     left = recall_backends(balancer, now, wall, int(age), rows if isinstance(rows, dict) else {})
     balancer.recap()
-    return Recalled(left, latencies)
+    return RestoreResult(left, latencies)
 
 
 def number(value: object, otherwise: float) -> float:
@@ -133,15 +135,15 @@
         # Never warmer than its start says: only a later end counts.
         cold = int(number(row.get("cold"), 0.0)) - age
         if cold > 0:
-            b.cold_until = max(b.cold_until, now + min(cold, balancer.settings.cold))
+            b.cold_until = max(b.cold_until, now + min(cold, balancer.settings.slow_start))
         rest = int(number(row.get("rest"), 0.0)) - age
         if rest > 0:
-            b.rest_until = now + min(rest, balancer.settings.fall)
+            b.rest_until = now + min(rest, balancer.settings.overload_window)
             balancer.remind(b.rest_until, b)
         backoff = min(max(int(number(row.get("backoff"), BACKOFF)), BACKOFF), BACKOFF_MAX)
         strikes = min(max(int(number(row.get("strikes"), 0.0)), 0), 100)
         if down > 0 or row.get("trial") is True:
-            b.backoff = min(max(int(down) - age, LEAST_EJECTED), BACKOFF_MAX)
+            b.backoff = min(max(int(down) - age, MIN_EJECTION_NS), BACKOFF_MAX)
             balancer.eject(now, b, "ejected before the restart")
             left += bool(b.ejected_until)
             b.strikes = strikes
--- a/flinthatch/watching.py
+++ b/flinthatch/list_polling.py
@@ -25,35 +25,35 @@
 
 from typing import NamedTuple
 
-TOLD_S = 6.0
-HOLD_MS = 2_500
-HOLD_MOST_MS = 8_000
+MAX_LIST_STALENESS_S = 6.0
+MIN_HOLD_MS = 2_500
+MAX_HOLD_MS = 8_000
 AT_ONCE_MS = 1  # 0 is not promised to mean that
 LATE_S = 0.3  # beyond its time, for the answer of a service that keeps up
 WATCH_S = 1.5  # for a watch's answer, beyond the time it may wait
-FETCH_S = 3.2  # for a whole list: calls are worked through in turn
-DIAL_S = 1.1  # for a connection: one lost SYN is sent again after 1 s
+FULL_LIST_TIMEOUT_S = 3.2  # for a whole list: calls are worked through in turn
+CONNECT_TIMEOUT_S = 1.1  # for a connection: one lost SYN is sent again after 1 s
 PACE_S = 0.1  # between calls that are answered at once with nothing new; 0.2 s end a watch
 MOVE_TRIES = 6  # calls to a new address before the module's back-off begins
 MOVE_S = 0.2  # before the first repeat, then twice as long each time, up to ...
 MOVE_MOST_S = 0.8
 AGENT_S = 0.2  # before a failed call to an agent is repeated
-AGENT_LEAST_MS = 100
+MIN_AGENT_HOLD_MS = 100
 
 
-class Ask(NamedTuple):
+class Poll(NamedTuple):
     """One call: what changed since this version, 0 for everything; `hold_ms` is how long it may
     wait for news, None where it must not. It is given up after `wait` seconds."""
 
     since: int
     hold_ms: int | None
-    wait: float
+    timeout_s: float
 
 
-class Watching:
+class PollSchedule:
     """The calls of one watch, in turn: `ask`, then `ended`.
 
-    `agent_ms` is how long calls to an agent of pushed lists wait, 0 where the list is asked.
+    `agent_hold_ms` is how long calls to an agent of pushed lists wait, 0 where the list is asked.
     """
 
     __slots__ = (
@@ -63,70 +63,70 @@
         "_hold_ms",
         "_hung",
         "_tries",
-        "agent_ms",
-        "moved",
+        "agent_hold_ms",
+        "address_changed",
     )
 
-    def __init__(self, agent_ms: int = 0) -> None:
-        self.agent_ms = agent_ms
-        self.begin(moved=False)
+    def __init__(self, agent_hold_ms: int = 0) -> None:
+        self.agent_hold_ms = agent_hold_ms
+        self.restart(address_changed=False)
 
-    def begin(self, moved: bool = True) -> None:
+    def restart(self, address_changed: bool = True) -> None:
         """Go on at another address, whose versions mean nothing yet."""
-        self.moved = moved  # until the first whole list of it is taken
+        self.address_changed = address_changed  # until the first whole list of it is taken
         self._tries = 0  # failed calls to it
-        self._hold_ms = HOLD_MS
+        self._hold_ms = MIN_HOLD_MS
         self._asked_ms = 0  # how long the last call might wait for news
         self._failed = False  # it brought nothing ...
         self._hung = False  # ... in all of its time
         self._crowded = False  # the last answer came late
 
-    def ask(self, rev: int, in_doubt: bool) -> Ask:
+    def next_poll(self, revision: int, service_behind: bool) -> Poll:
         """The next call, from the version in hand; `in_doubt` where the service's own is older,
         so that it can't tell what changed since ours, and would wait for news of it in vain."""
-        if self.moved:
-            return Ask(0, None, FETCH_S)
-        since = 0 if in_doubt else rev
-        if self.agent_ms:
-            return Ask(since, self.agent_ms, 2 * self.agent_ms / 1000)
+        if self.address_changed:
+            return Poll(0, None, FULL_LIST_TIMEOUT_S)
+        since = 0 if service_behind else revision
+        if self.agent_hold_ms:
+            return Poll(since, self.agent_hold_ms, 2 * self.agent_hold_ms / 1000)
         self._asked_ms = AT_ONCE_MS if self._failed else self._hold_ms
-        patience = FETCH_S if self._failed or self._crowded else WATCH_S
-        return Ask(since, self._asked_ms, self._asked_ms / 1000 + patience)
+        patience = FULL_LIST_TIMEOUT_S if self._failed or self._crowded else WATCH_S
+        return Poll(since, self._asked_ms, self._asked_ms / 1000 + patience)
 
-    def failed(self, hung: bool) -> float | None:
+    def delay_after_failure(self, timed_out: bool) -> float | None:
         """A call brought nothing: seconds until the next, None where the module says when.
 
         `hung` where its time ran out with no answer.
         """
-        if self.moved and self._tries < MOVE_TRIES:
+        if self.address_changed and self._tries < MOVE_TRIES:
             # It may not be up yet, and what it has to tell counts as told soon.
             self._tries += 1
             return min(MOVE_S * (1 << (self._tries - 1)), MOVE_MOST_S)
         self._failed = True
         # A connection was cut silently, or the service hangs. What happened meanwhile counts
         # as told already: ask again without a back-off, once.
-        self._hung = hung and not self._hung and not self.moved
+        self._hung = timed_out and not self._hung and not self.address_changed
         if self._hung:
             return 0.0
-        return AGENT_S if self.agent_ms else None
+        return AGENT_S if self.agent_hold_ms else None
 
-    def unusable(self) -> float | None:
+    def delay_after_invalid_answer(self) -> float | None:
         """An answer could not be used: as `failed`."""
         self._failed = self._hung = False
-        return AGENT_S if self.agent_ms else None
+        return AGENT_S if self.agent_hold_ms else None
 
-    def answered(self, lasted: float, news: bool) -> float:
+    def delay_after_answer(self, duration_s: float, changed: bool) -> float:
         """A call was answered after so many seconds: seconds until the next.
 
         At once, mostly: after 200 ms it would count as a new watch, and what changed in
         between as told late.
         """
         self._failed = self._hung = False
-        late = lasted - self._asked_ms / 1000
+        late = duration_s - self._asked_ms / 1000
         if late > LATE_S:
             self._crowded = True
-            self._hold_ms = min(self._hold_ms * 2, HOLD_MOST_MS)
+            self._hold_ms = min(self._hold_ms * 2, MAX_HOLD_MS)
         elif late > 0:
             self._crowded = False
-            self._hold_ms = max(self._hold_ms * 3 // 4, HOLD_MS)
-        return 0.0 if news or lasted >= PACE_S else PACE_S
+            self._hold_ms = max(self._hold_ms * 3 // 4, MIN_HOLD_MS)
+        return 0.0 if changed or duration_s >= PACE_S else PACE_S
--- a/flinthatch/amend.py
+++ b/flinthatch/reconfigure.py
@@ -14,9 +14,9 @@
 from dataclasses import replace
 
 from flinthatch.balancer import LEFTS, Balancer, ClassState
-from flinthatch.terms import Effect, RequestClass, Scope, Settings
+from flinthatch.interface import Effect, RequestClass, Scope, Settings
 
-RETIRED = "~"  # before the name of a class that takes nothing new
+RETIRED_PREFIX = "~"  # before the name of a class that takes nothing new
 
 
 def looser(old: RequestClass, new: RequestClass) -> bool:
@@ -25,10 +25,12 @@
         return new.effect < old.effect
     if new.effect != Effect.TOKEN:
         return False
-    return new.window > old.window or (new.scope != old.scope and new.scope == Scope.ALL)
+    return new.retry_window > old.retry_window or (
+        new.scope != old.scope and new.scope == Scope.ALL
+    )
 
 
-def amend(balancer: Balancer, now: int, settings: Settings) -> dict[str, int]:
+def reconfigure(balancer: Balancer, now: int, settings: Settings) -> dict[str, int]:
     """Go on under these settings; returns the numbers that requests now come with, by name.
 
     Numbers given before are void. Raises ValueError where tenants, zones or the node's place
@@ -46,7 +48,7 @@
         elif id(c) in busy:
             kept.append(c)
             for spec in settings.classes:
-                if RETIRED + spec.name == c.spec.name and looser(spec, c.spec):
+                if RETIRED_PREFIX + spec.name == c.spec.name and looser(spec, c.spec):
                     _change(c, replace(spec, name=c.spec.name, deadline=c.spec.deadline))
     olds = {c.spec.name: c for c in kept if not _retired(c)}
     for spec in settings.classes:
@@ -57,7 +59,7 @@
             _change(old, spec)
             del olds[spec.name]
     for old in olds.values():
-        old.spec = replace(old.spec, name=RETIRED + old.spec.name)
+        old.spec = replace(old.spec, name=RETIRED_PREFIX + old.spec.name)
     kept = [c for c in kept if not _retired(c) or id(c) in busy]
     _renumber(balancer, kept)
     balancer.settings = settings
@@ -67,7 +69,7 @@
 
 
 def _retired(c: ClassState) -> bool:
-    return c.spec.name.startswith(RETIRED)
+    return c.spec.name.startswith(RETIRED_PREFIX)
 
 
 def refuse_waiting(balancer: Balancer, now: int) -> int:
@@ -96,7 +98,7 @@
         c.lefts = [0] * (LEFTS + 1)
         c.usual = c.asked = 0
     c.spec = spec
-    c.aim = spec.aim
+    c.aim = spec.latency_target
     c.effect = spec.effect
 
 
--- a/flinthatch/parts.py
+++ b/flinthatch/shared_limits.py
@@ -9,17 +9,17 @@
 from collections.abc import Iterable, Mapping
 
 from flinthatch.balancer import NEVER, RETRY_BURST, Balancer
-from flinthatch.terms import State
+from flinthatch.interface import State
 
 
-def share(
+def apply_limits(
     balancer: Balancer,
     now: int,
-    places: Mapping[int, int] | None,
-    until: int = NEVER,
-    after: Mapping[int, int] | None = None,
-    instances: int = 1,
-    part: float = 1.0,
+    granted_slots: Mapping[int, int] | None,
+    expires_at: int = NEVER,
+    granted_slots_after_expiry: Mapping[int, int] | None = None,
+    instance_count: int = 1,
+    retry_share: float = 1.0,
 ) -> None:
     """Keep at most `places` requests at each server (of one that is not named: none) up to
     `until`, and `after` from then on; None: as many as the module itself finds right.
@@ -28,17 +28,19 @@
     Requests that are out stay out; nothing is added where more are out than may be.
     """
     balancer.now = now
-    balancer.places = None if places is None else dict(places)
-    balancer.places_after = None if after is None else dict(after)
-    balancer.lapse_at = until
-    balancer.instances = max(instances, 1)
-    balancer.retry_most = RETRY_BURST * min(max(part, 0.0), 1.0)
+    balancer.places = None if granted_slots is None else dict(granted_slots)
+    balancer.places_after = (
+        None if granted_slots_after_expiry is None else dict(granted_slots_after_expiry)
+    )
+    balancer.lapse_at = expires_at
+    balancer.instances = max(instance_count, 1)
+    balancer.retry_most = RETRY_BURST * min(max(retry_share, 0.0), 1.0)
     balancer.retry_credit = min(balancer.retry_credit, balancer.retry_most)
     balancer.recap()
     balancer.dispatch(now)
 
 
-def doubt(balancer: Balancer, now: int, servers: Iterable[int], fresh: int) -> int:
+def mark_half_open(balancer: Balancer, now: int, servers: Iterable[int], fresh: int) -> int:
     """Others find these out: each gets one request at a time until it has answered one of ours,
     unless it answered one within `fresh`. Returns how many that are so from now on.
 
@@ -58,7 +60,7 @@
     return count
 
 
-def wait(balancer: Balancer, now: int, server: int, until: int) -> bool:
+def extend_ejection(balancer: Balancer, now: int, server: int, until: int) -> bool:
     """Another tries this server, which is ejected here: stay away from it up to `until`.
     False where it is not ejected, or for longer than that already."""
     b = balancer.backends.get(server)
@@ -69,7 +71,7 @@
     return True
 
 
-def back(balancer: Balancer, now: int, server: int) -> bool:
+def end_ejection(balancer: Balancer, now: int, server: int) -> bool:
     """Another's try was answered: try it here too, with one request at a time. False where it
     was not ejected."""
     balancer.now = now
@@ -81,17 +83,17 @@
     return True
 
 
-def at_work(balancer: Balancer) -> dict[int, int]:
+def count_occupied_slots(balancer: Balancer) -> dict[int, int]:
     """Places taken at each server: what is out, and what was given up and may be at work yet."""
     return {b.id: b.held + len(b.lingering) for b in balancer.backends.values()}
 
 
-def ejected(balancer: Balancer) -> set[int]:
+def list_ejected(balancer: Balancer) -> set[int]:
     """Servers that this module leaves alone now."""
     return {b.id for b in balancer.backends.values() if b.ejected_until}
 
 
-def answered_lately(balancer: Balancer, now: int, within: int) -> dict[int, int]:
+def list_recent_answers(balancer: Balancer, now: int, within: int) -> dict[int, int]:
     """Servers that answered within so long, and how long ago that was."""
     return {
         b.id: now - b.seen
--- a/flinthatch/drill.py
+++ b/flinthatch/simulator_adapter.py
@@ -14,8 +14,7 @@
 from typing import Any, BinaryIO
 
 from flinthatch.balancer import Balancer
-from flinthatch.reading import Place, Unusable
-from flinthatch.terms import (
+from flinthatch.interface import (
     MS,
     SECOND,
     Effect,
@@ -27,6 +26,7 @@
     Tenant,
     Update,
 )
+from flinthatch.settings_reader import InvalidSettingError, SettingsObject
 
 HEAD = struct.Struct(">IIIQ")
 REPLY = struct.Struct(">III")
@@ -62,7 +62,7 @@
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
 
 
-class WireError(Exception):
+class ProtocolError(Exception):
     """The input is not what the wire describes; the text says where."""
 
 
@@ -71,76 +71,80 @@
     try:
         raw = json.loads(text)
     except ValueError as err:
-        raise WireError(f"settings are not JSON: {err}") from None
+        raise ProtocolError(f"settings are not JSON: {err}") from None
     if not isinstance(raw, dict):
-        raise WireError("settings are not a JSON object")
+        raise ProtocolError("settings are not a JSON object")
     try:
-        return _settings(Place(raw, "settings"))
+        return _settings(SettingsObject(raw, "settings"))
     except ValueError as err:
-        raise WireError(str(err)) from None
+        raise ProtocolError(str(err)) from None
 
 
-def _settings(raw: Place) -> Settings:
-    rules, limits = raw.under("rules", needed=True), raw.under("limits")
-    goal, prices = raw.under("goal"), raw.under("prices")
-    balancers = raw.whole("balancers", least=1, most=MANY)
+def _settings(raw: SettingsObject) -> Settings:
+    rules, limits = raw.child("rules", required=True), raw.child("limits")
+    goal, prices = raw.child("goal"), raw.child("prices")
+    balancers = raw.integer("balancers", minimum=1, maximum=MANY)
     classes = tuple(
         RequestClass(
-            name=c.word("name", str(i)),
-            aim=c.whole("target", least=1),
-            deadline=c.whole("deadline", least=1),
+            name=c.string("name", str(i)),
+            latency_target=c.integer("target", minimum=1),
+            deadline=c.integer("deadline", minimum=1),
             effect=c.choice("effect", EFFECTS),
             scope=c.choice("dedup_scope", SCOPES, "all"),
-            window=c.whole("repeat_window", 0),
-            worth=c.number("credit", 1.0),
-            late_worth=c.number("late_worth", 0.0),
-            stream=c.flag("stream"),
-            aim_stretch=c.number("aim_stretch", 0.0),
+            retry_window=c.integer("repeat_window", 0),
+            value=c.number("credit", 1.0),
+            late_value=c.number("late_worth", 0.0),
+            stream=c.boolean("stream"),
+            target_stretch=c.number("aim_stretch", 0.0),
         )
-        for i, c in enumerate(raw.rows("classes", needed=True))
+        for i, c in enumerate(raw.children("classes", required=True))
     )
     if not classes:
-        raise Unusable(f"{raw.where('classes')} is empty: at least one class is wanted")
+        raise InvalidSettingError(
+            f"{raw.path_of('classes')} is empty: at least one class is wanted"
+        )
     tenants = tuple(
         Tenant(
-            name=t.word("name", str(i)),
-            portion=t.number("portion", 1.0),
+            name=t.string("name", str(i)),
+            share=t.number("portion", 1.0),
             quota_per_s=t.number("quota_per_s", 0.0),
         )
-        for i, t in enumerate(raw.rows("realms"))
+        for i, t in enumerate(raw.children("realms"))
     )
-    info = raw.under("load_info")
+    info = raw.child("load_info")
     return Settings(
-        node=raw.whole("me", 0),
+        node=raw.integer("me", 0),
         balancers=balancers,
-        zone=raw.whole("my_zone", 0),
-        zones=max(1, len(raw.words("areas"))),
+        zone=raw.integer("my_zone", 0),
+        zones=max(1, len(raw.strings("areas"))),
         classes=classes,
         tenants=tenants,
-        load_columns=info.words("columns") if info.word("how", "off") != "off" else (),
-        ask=raw.word("registry_mode", "push") == "ask",
-        ask_within=rules.whole("ask_within", 10 * SECOND),
-        drain_grace=rules.whole("drain_grace", 0),
-        cold_from=rules.number("cold_from", 0.1),
-        cold=rules.whole("cold", 0),
-        fall_multiple=rules.number("fall_multiple", 1.0),
-        fall=rules.whole("fall", SECOND),
-        answer_slack=rules.whole("grace_to_answer", 0),
-        max_attempts=limits.whole("max_attempts", 1, least=1),
-        second_copies=limits.flag("second_copies"),
-        can_cancel=limits.flag("cancelling"),
-        can_probe=limits.flag("probes"),
-        marks_retry=raw.under("clients").flag("marks_retry"),
-        max_retry_after=limits.whole("max_retry_after", 0) if limits.flag("retry_after") else 0,
-        connect_timeout=limits.whole("dial_timeout", 250 * MS, least=MS),
-        tick=raw.whole("tick", MS),
-        worst_class=goal.number("worst_class", 0.0),
+        load_columns=info.strings("columns") if info.string("how", "off") != "off" else (),
+        ask=raw.string("registry_mode", "push") == "ask",
+        ask_within=rules.integer("ask_within", 10 * SECOND),
+        drain_grace=rules.integer("drain_grace", 0),
+        slow_start_fraction=rules.number("cold_from", 0.1),
+        slow_start=rules.integer("cold", 0),
+        overload_factor=rules.number("fall_multiple", 1.0),
+        overload_window=rules.integer("fall", SECOND),
+        answer_slack=rules.integer("grace_to_answer", 0),
+        max_attempts=limits.integer("max_attempts", 1, minimum=1),
+        allow_hedging=limits.boolean("second_copies"),
+        can_cancel=limits.boolean("cancelling"),
+        can_probe=limits.boolean("probes"),
+        clients_mark_retries=raw.child("clients").boolean("marks_retry"),
+        max_retry_after=limits.integer("max_retry_after", 0)
+        if limits.boolean("retry_after")
+        else 0,
+        connect_timeout=limits.integer("dial_timeout", 250 * MS, minimum=MS),
+        tick=raw.integer("tick", MS),
+        worst_class_weight=goal.number("worst_class", 0.0),
         cross_zone_price=prices.number("cross_zone", 0.0),
-        rated=raw.word("weights", "off") in ("nominal", "rough"),
+        weighted=raw.string("weights", "off") in ("nominal", "rough"),
     )
 
 
-class Node:
+class InstanceActions:
     """Actions of one instance: packs each call into the reply being built."""
 
     __slots__ = ("balancer", "me", "out")
@@ -183,11 +187,11 @@
         self.out.append(TEXT(25, self.me, len(data)) + data)
 
 
-class Drill:
+class SimulatorAdapter:
     """All instances of one process, and the numbered lists they point at."""
 
     def __init__(self) -> None:
-        self.nodes: dict[int, Node] = {}
+        self.nodes: dict[int, InstanceActions] = {}
         self.lists: dict[int, tuple[Listing, ...]] = {}
         self.out: list[bytes] = []
         self.readers: dict[int, Callable[[int, bytes, int], int]] = {
@@ -213,12 +217,12 @@
             for _ in range(count):
                 reader = readers.get(body[at])
                 if reader is None:
-                    raise WireError(f"unknown event code {body[at]}")
+                    raise ProtocolError(f"unknown event code {body[at]}")
                 at = reader(now, body, at)
         except (struct.error, IndexError):
-            raise WireError("a record is cut short") from None
+            raise ProtocolError("a record is cut short") from None
         if at != len(body):
-            raise WireError(f"{len(body) - at} bytes are left after the last record")
+            raise ProtocolError(f"{len(body) - at} bytes are left after the last record")
         return len(self.out), b"".join(self.out)
 
     def timer(self, now: int, body: bytes, at: int) -> int:
@@ -230,9 +234,9 @@
         _, inst, seed, size = EV_HELLO.unpack_from(body, at)
         end: int = at + 17 + size
         if end > len(body):
-            raise WireError("the settings are cut short")
+            raise ProtocolError("the settings are cut short")
         settings = settings_from_json(body[at + 17 : end])
-        node = Node(inst, self.out)
+        node = InstanceActions(inst, self.out)
         self.nodes[inst] = node
         try:
             node.balancer = Balancer(settings, seed, node)
@@ -244,11 +248,11 @@
     def members(self, now: int, body: bytes, at: int) -> int:
         _, inst, mode, version, number = EV_MEMBERS.unpack_from(body, at)
         if mode > 3:
-            raise WireError(f"unknown list mode {mode}")
+            raise ProtocolError(f"unknown list mode {mode}")
         entries: tuple[Listing, ...] = ()
         if mode != Update.FAILED:
             if number not in self.lists:
-                raise WireError(f"list {number} was never given")
+                raise ProtocolError(f"list {number} was never given")
             entries = self.lists[number]
         self.call(inst, "on_members", now, Update(mode), entries)
         return at + 12
@@ -273,7 +277,7 @@
             body, at
         )
         if not 1 <= code <= 8:
-            raise WireError(f"unknown outcome {code}")
+            raise ProtocolError(f"unknown outcome {code}")
         load = struct.unpack_from(f">{n}f", body, at + 26) if n else ()
         node = self.nodes.get(inst)
         if node is not None and node.balancer is not None:
@@ -287,11 +291,11 @@
         _, number, n = EV_CATALOG.unpack_from(body, at)
         end: int = at + 7 + ENTRY.size * n
         if end > len(body):
-            raise WireError("a list is cut short")
+            raise ProtocolError("a list is cut short")
         entries = []
         for cell, zone, backend, state, kind, boot, rating in ENTRY.iter_unpack(body[at + 7 : end]):
             if state > 2:
-                raise WireError(f"unknown backend state {state}")
+                raise ProtocolError(f"unknown backend state {state}")
             entries.append(Listing(backend, State(state), zone, cell, kind, boot, rating))
         self.lists[number] = tuple(entries)
         return end
@@ -318,7 +322,7 @@
     def probed(self, now: int, body: bytes, at: int) -> int:
         _, inst, backend, taken, code, n = EV_PROBED.unpack_from(body, at)
         if not 1 <= code <= 8:
-            raise WireError(f"unknown outcome {code}")
+            raise ProtocolError(f"unknown outcome {code}")
         load = struct.unpack_from(f">{n}f", body, at + 19)
         self.call(inst, "on_probe", now, backend, code, taken, load)
         return at + 19 + 4 * int(n)
@@ -326,7 +330,7 @@
     def note(self, now: int, body: bytes, at: int) -> int:
         _, _inst, _peer, size = EV_NOTE.unpack_from(body, at)
         if at + 11 + size > len(body):
-            raise WireError("a note is cut short")
+            raise ProtocolError("a note is cut short")
         return at + 11 + int(size)
 
     def call(self, inst: int, method: str, now: int, *args: Any) -> None:
@@ -361,17 +365,17 @@
 
 def serve(stdin: BinaryIO, stdout: BinaryIO) -> None:
     """Answer frames until the input ends; WireError on anything malformed."""
-    drill = Drill()
+    drill = SimulatorAdapter()
     while True:
         head = read_exactly(stdin, HEAD.size)
         if not head:
             return
         if len(head) < HEAD.size:
-            raise WireError("a frame's header is cut short")
+            raise ProtocolError("a frame's header is cut short")
         seq, count, size, now = HEAD.unpack(head)
         body = read_exactly(stdin, size)
         if len(body) < size:
-            raise WireError("a frame is cut short")
+            raise ProtocolError("a frame is cut short")
         n, reply = drill.batch(now, count, body)
         stdout.write(REPLY.pack(seq, n, len(reply)) + reply)
         stdout.flush()
@@ -380,7 +384,7 @@
 def main() -> int:
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except WireError as err:
+    except ProtocolError as err:
         print(f"flinthatch: {err}", file=sys.stderr)
         return 2
     except BrokenPipeError:
--- a/standins/fleet/inject/sitecustomize.py
+++ b/standins/fleet/inject/sitecustomize.py
@@ -100,12 +100,12 @@
 
 def module_parts(module: Any) -> None:
     if "end" in WITHOUT:
-        share = module.share
+        share = module.apply_limits
 
         def endless(balancer: Any, now: int, places: Any, *args: Any) -> None:
             share(balancer, now, places, module.NEVER, *args[1:])
 
-        module.share = endless
+        module.apply_limits = endless
 
 
 def module(module: Any) -> None:
@@ -119,7 +119,7 @@
     "tansywood.fleet.allocation": parts,
     "tansywood.tenancy.limits": limits,
     "flinthatch.balancer": module,
-    "flinthatch.parts": module_parts,
+    "flinthatch.shared_limits": module_parts,
 }
 
 
--- a/standins/mass/day.py
+++ b/standins/mass/day.py
@@ -85,8 +85,8 @@
 
 
 # At full size the settings tell aims of a quarter and deadlines of a third of the brief's.
-BALANCE = RequestClass("balance", 200 * MS, 670 * MS, Effect.PURE, worth=1.0)
-CREDIT = RequestClass("credit", 190 * MS, SECOND, Effect.SIDE_EFFECT, worth=5.0)
+BALANCE = RequestClass("balance", 200 * MS, 670 * MS, Effect.PURE, value=1.0)
+CREDIT = RequestClass("credit", 190 * MS, SECOND, Effect.SIDE_EFFECT, value=5.0)
 WORK = 0.33  # of the brief's work, likewise: not told, but what the days' latencies show
 
 
@@ -177,13 +177,13 @@
         ask=True,
         ask_within=10 * SECOND,
         drain_grace=2 * SECOND,
-        cold_from=0.31,
-        cold=int(8.3 * SECOND),
-        fall_multiple=3.0,
-        fall=fall,
+        slow_start_fraction=0.31,
+        slow_start=int(8.3 * SECOND),
+        overload_factor=3.0,
+        overload_window=fall,
         answer_slack=20 * MS,
         max_attempts=4,
-        second_copies=True,
+        allow_hedging=True,
         can_cancel=True,
         can_probe=True,
         max_retry_after=2 * SECOND,
--- a/standins/mass/fleet.py
+++ b/standins/mass/fleet.py
@@ -16,7 +16,7 @@
 from typing import Protocol
 
 from flinthatch import Actions, Balancer, Effect, Listing, Outcome, Settings, State, Update
-from flinthatch.watching import Watching
+from flinthatch.list_polling import PollSchedule
 from standins.mass.clock import MS, SECOND, Clock
 from standins.mass.day import Day, Traffic
 from standins.mass.listing import Answer, Row
@@ -25,7 +25,7 @@
 
 STATES = {"ready": State.READY, "draining": State.DRAINING, "left": State.GONE}
 SWEEP = SECOND  # idle connections are looked through this often
-NEVER_RAN = (FULL, CONNECT_FAILED, Outcome.MOOT)
+NEVER_RAN = (FULL, CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class Policy(Protocol):
@@ -138,7 +138,7 @@
         self.told_away: dict[int, int] = {}  # servers that it heard drain or leave, and when
         self.rev = 0
         self.started = 0
-        self.times = Watching()
+        self.times = PollSchedule()
         self.watching = False
         self.calls = 0
         self.open: dict[int, Asked] = {}
@@ -156,7 +156,7 @@
         self.alive = self.taking = True
         self.life += 1
         self.started = fleet.clock.now
-        self.times = Watching()
+        self.times = PollSchedule()
         self.watching = False
         self.rev = rev
         self.idle = {}
@@ -221,7 +221,7 @@
         asked.live += 1
         t.limit = min(timeout, asked.client_end - now)
         if asked.ended or t.limit <= 0 or len(asked.attempts) > 4:
-            fleet.clock.at(now, self.conclude, t, int(Outcome.MOOT), self.life)
+            fleet.clock.at(now, self.conclude, t, int(Outcome.NOT_SENT), self.life)
             return
         self.sent += 1
         fleet.attempts += 1
@@ -272,7 +272,7 @@
             else:
                 t.connected = False
                 self.idle.setdefault(server.number, []).append(fleet.clock.now)
-                self.conclude(t, int(Outcome.MOOT), self.life)
+                self.conclude(t, int(Outcome.NOT_SENT), self.life)
 
     def arrive(self, t: Try, extra: int) -> None:
         fleet = self.fleet
@@ -397,9 +397,9 @@
         return told
 
     def next_watch(self) -> None:
-        ask = self.times.ask(self.rev, in_doubt=False)
+        ask = self.times.next_poll(self.rev, service_behind=False)
         hold = (ask.hold_ms or 0) * MS
-        self.fleet.registry.call(ask.since, hold, self.caller(int(ask.wait * SECOND)))
+        self.fleet.registry.call(ask.since, hold, self.caller(int(ask.timeout_s * SECOND)))
 
     def watch_after(self, seconds: float) -> None:
         life = self.life
@@ -414,7 +414,7 @@
         fleet = self.fleet
         now = fleet.clock.now
         if answer is None:
-            after = self.times.failed(hung)
+            after = self.times.delay_after_failure(hung)
             if after is None:
                 self.watching = False
                 self.policy.on_members(now, Update.FAILED, ())
@@ -434,7 +434,7 @@
         update = Update.FULL if answer.whole else Update.DELTA
         self.policy.on_members(now, update, [fleet.listing_of(row) for row in answer.rows])
         if self.watching:
-            self.watch_after(self.times.answered(lasted / SECOND, news))
+            self.watch_after(self.times.delay_after_answer(lasted / SECOND, news))
 
     def hear(self, row: Row) -> None:
         now = self.fleet.clock.now
@@ -549,7 +549,7 @@
             which = self.rng_work.choices(range(len(shares)), shares)[0]
             t = day.traffic[which]
             work = t.draw(self.rng_work)
-            worth = t.spec.worth * work / t.work
+            worth = t.spec.value * work / t.work
             self.chains += 1
             chain = Chain(self.chains, zone, self.clock.now, which, work, worth)
             self.offered += worth
@@ -668,7 +668,7 @@
             return
         took = self.clock.now + self.day.client - chain.began
         self.latencies.append(took)
-        if took <= self.traffic_of(chain).spec.aim:
+        if took <= self.traffic_of(chain).spec.latency_target:
             self.earned += chain.worth
             asked.node.earned += chain.worth
             self.class_worth[chain.traffic][1] += chain.worth
--- a/standins/mass/policies.py
+++ b/standins/mass/policies.py
@@ -22,7 +22,7 @@
 
 WAKE = 1
 LOOK = 3 * MS  # how often what waits is looked at again
-NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class Blind:
@@ -134,7 +134,7 @@
         self, now: int, request: int, cls: int, left: int, tenant: int = 0, key: int = 0,
         hint: int = 0, client_retry: bool = False, waited: int = 0,
     ) -> None:  # fmt: skip
-        aim_at = now + min(self.settings.classes[cls].aim, left)
+        aim_at = now + min(self.settings.classes[cls].latency_target, left)
         wish = Wish(request, cls, aim_at, now + left)
         self.out[request] = wish
         self.waiting.append(wish)
@@ -146,7 +146,7 @@
             if wish.id not in self.out:
                 self.waiting.popleft()
                 continue
-            if now > wish.aim_at - self.settings.classes[wish.cls].aim // 8:
+            if now > wish.aim_at - self.settings.classes[wish.cls].latency_target // 8:
                 self.waiting.popleft()
                 self.finish(wish)
                 continue
--- a/tansywood/iso8583/link.py
+++ b/tansywood/iso8583/link.py
@@ -163,7 +163,7 @@
         assert r is not None
         message = self.machine.send(self.link.now_ms(), one, r.asked.message)
         if message is None:
-            self.conclude(one, Outcome.MOOT)
+            self.conclude(one, Outcome.NOT_SENT)
             return
         self.link.before(one.attempt, str(message.fields[11]), partial(self.go, one, message))
 
@@ -174,7 +174,7 @@
             return
         if not kept:
             self.machine.give_up(self.link.now_ms(), one)
-            self.conclude(one, Outcome.MOOT)
+            self.conclude(one, Outcome.NOT_SENT)
             return
         asked = r.asked
         try:
@@ -187,7 +187,7 @@
         except IsoError as err:  # it was read by another dialect than this server's
             self.machine.give_up(self.link.now_ms(), one)
             self.link.node.log(f"backend {self.backend}: not sent: {err}")
-            self.conclude(one, Outcome.MOOT)
+            self.conclude(one, Outcome.NOT_SENT)
             return
         one.end = self.sent
 
@@ -317,7 +317,7 @@
         for n, one in enumerate(waiting):
             # A dial that failed is one piece of news of the server, too.
             lost = n == 0 and not (connected and outstanding)
-            self.conclude(one, Outcome.CONNECT_FAILED if lost else Outcome.MOOT)
+            self.conclude(one, Outcome.CONNECT_FAILED if lost else Outcome.NOT_SENT)
 
 
 class IsoLink:
@@ -359,7 +359,7 @@
     def send(self, attempt: Attempt) -> None:
         backend = attempt.backend
         if attempt.request is None:
-            self.node.conclude(attempt, Outcome.MOOT)  # a probe: echoes do that here
+            self.node.conclude(attempt, Outcome.NOT_SENT)  # a probe: echoes do that here
             return
         address = self.node.discovery.roster.endpoints.get(backend)
         if address is None:
@@ -373,7 +373,7 @@
         if len(conns) >= CONNECTIONS:
             self.node.conclude(attempt, Outcome.FULL)
         elif not self.node.room_for_upstream():
-            self.node.conclude(attempt, Outcome.MOOT)
+            self.node.conclude(attempt, Outcome.NOT_SENT)
         else:
             conn = ServerConnection(self, backend, address)
             conns.append(conn)
@@ -417,7 +417,7 @@
         for conn in self.conns.get(backend, ()):
             waiting, conn.waiting = conn.waiting, []
             for one in waiting:
-                conn.conclude(one, Outcome.MOOT)
+                conn.conclude(one, Outcome.NOT_SENT)
         self.drop_idle(backend)
 
     def drop_idle(self, backend: int) -> None:
--- a/tansywood/iso8583/mapping.py
+++ b/tansywood/iso8583/mapping.py
@@ -118,7 +118,7 @@
     told = False
     for left in written:
         if not left:
-            found.append(Outcome.MOOT)
+            found.append(Outcome.NOT_SENT)
         elif told:
             found.append(Outcome.CANCELLED)
         else:
--- a/tansywood/service/limiting.py
+++ b/tansywood/service/limiting.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, replace
 from typing import Any, Protocol
 
-from flinthatch import parts as module
+from flinthatch import shared_limits as module
 from flinthatch.balancer import NEVER
 from tansywood.service.shape import entered
 from tansywood.tenancy.limits import Bucket
@@ -86,7 +86,7 @@
         return {number[s]: n for s, n in some.places.items() if s in number}
 
     with entered(node) as here:
-        module.share(
+        module.apply_limits(
             node.balancer,
             here,
             numbered(amounts),
--- a/tansywood/service/node.py
+++ b/tansywood/service/node.py
@@ -13,7 +13,7 @@
 import time
 
 from flinthatch import Balancer
-from flinthatch.recall import restore, save
+from flinthatch.learned_state import export_learned_state, restore_learned_state
 from tansywood.store import Batch, Store, StoreError
 from tansywood.store.aio import AsyncStore
 from windrelay.__main__ import Run
@@ -42,15 +42,15 @@
             return
         if record is None:
             return
-        done = restore(balancer, now, now + self.clock, record)
+        done = restore_learned_state(balancer, now, now + self.clock, record)
         log(
             f"recalled {done.ejected} servers ejected, {done.latencies} latencies"
-            + (f"; {done.why}" if done.why else "")
+            + (f"; {done.reason}" if done.reason else "")
         )
 
     async def save(self) -> None:
         now = time.monotonic_ns()
-        record = save(self.run.node.balancer, now, now + self.clock)
+        record = export_learned_state(self.run.node.balancer, now, now + self.clock)
         try:
             await self.face.write(Batch().put(KEY, json.dumps(record).encode()))
         except StoreError as err:
--- a/tansywood/service/shape.py
+++ b/tansywood/service/shape.py
@@ -7,7 +7,7 @@
 from hashlib import blake2b
 from typing import Any
 
-from flinthatch import Effect, RequestClass, Scope, Settings, amend
+from flinthatch import Effect, RequestClass, Scope, Settings, reconfigure
 from tansywood.tenancy.schema import MAX_ZONES
 from tansywood.tenancy.settings import TenantSettings, server_uid
 from windrelay.config import Address, Config
@@ -29,20 +29,20 @@
         classes=tuple(
             RequestClass(
                 name=c.name,
-                aim=c.aim_ms * MS,
+                latency_target=c.aim_ms * MS,
                 deadline=c.deadline_ms * MS,
                 effect=EFFECTS[c.repeat],
                 scope=Scope.ALL,
-                window=c.window_ms * MS,
-                worth=c.worth,
+                retry_window=c.window_ms * MS,
+                value=c.worth,
             )
             for c in tenant.classes
         ),
         zones=MAX_ZONES,
         drain_grace=DRAIN_GRACE,
-        cold_from=COLD_FROM,
-        cold=COLD,
-        fall=3 * SECOND // 2,
+        slow_start_fraction=COLD_FROM,
+        slow_start=COLD,
+        overload_window=3 * SECOND // 2,
         answer_slack=20 * MS,
         max_attempts=tenant.max_attempts,
         can_cancel=True,
@@ -50,7 +50,7 @@
         # Told to stay away past its aim a caller would come back late whatever is done.
         max_retry_after=min(MAX_RETRY_AFTER, *(c.aim_ms * MS for c in tenant.classes)),
         tick=5 * MS,
-        rated=any(s.rating != 1.0 for s in tenant.servers),
+        weighted=any(s.rating != 1.0 for s in tenant.servers),
     )
 
 
@@ -67,7 +67,7 @@
 def refuse_waiting(node: Node) -> None:
     """Answer at once what waits for a server."""
     with entered(node) as now:
-        amend.refuse_waiting(node.balancer, now)
+        reconfigure.refuse_waiting(node.balancer, now)
 
 
 def zones(tenant: TenantSettings) -> tuple[str, ...]:
--- a/tansywood/service/sharing.py
+++ b/tansywood/service/sharing.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from flinthatch import parts as module
+from flinthatch import shared_limits as module
 from flinthatch.balancer import NEVER
 from tansywood.fleet.allocation import floor_of, open_key, places_key, rate_key, slice_of
 from tansywood.fleet.share import Limits, limits_of
@@ -87,7 +87,7 @@
 def _places(hosted: Tenant, busy: bool) -> dict[str, tuple[int, int]]:
     """By server: places that are needed and that are in use."""
     balancer = hosted.node.balancer
-    held = module.at_work(balancer)
+    held = module.count_occupied_slots(balancer)
     ready = max(sum(1 for b in balancer.backends.values() if b.state == 1), 1)
     waiting = balancer.waiting + balancer.waiting_over
     each = -(-int(HEADROOM * (balancer.running + waiting)) // ready) + 1 if busy else 0
@@ -97,8 +97,8 @@
 def _seen(now: int, hosted: Tenant) -> dict[str, tuple[int, int]]:
     """By server: what was found out here and how many nanoseconds ago, where anything was."""
     balancer = hosted.node.balancer
-    away = module.ejected(balancer)
-    good = module.answered_lately(balancer, now, SEEN)
+    away = module.list_ejected(balancer)
+    good = module.list_recent_answers(balancer, now, SEEN)
     seen = {}
     for name, number in numbers(hosted.settings).items():
         if number in away:
@@ -169,11 +169,13 @@
             self._take(hosted, name, row)
             number = numbers(hosted.settings)
             balancer = hosted.node.balancer
-            module.doubt(balancer, now, [number[s] for s in row["doubted"] if s in number], SECOND)
+            module.mark_half_open(
+                balancer, now, [number[s] for s in row["doubted"] if s in number], SECOND
+            )
             for server in row["back"]:
                 if server in number:
                     with entered(hosted.node) as here:
-                        module.back(balancer, here, number[server])
+                        module.end_ejection(balancer, here, number[server])
             for server, wait in row["tries"].items():
                 if wait and server in number:
                     # Another tries it first; this one later, if nothing is heard of that.
@@ -202,7 +204,7 @@
             return
         self._waited[hosted.uid, server] = b.backoff
         with entered(node) as now:
-            module.wait(node.balancer, now, server, until)
+            module.extend_ejection(node.balancer, now, server, until)
 
     # ---- what is asked for ---------------------------------------------------------------------
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -48,8 +48,8 @@
 
 
 PURE = RequestClass("pure", 200 * MS, 1000 * MS, Effect.PURE)
-UNSAFE = RequestClass("unsafe", 200 * MS, 1000 * MS, Effect.SIDE_EFFECT, window=SECOND)
-KEYED = RequestClass("keyed", 200 * MS, 1000 * MS, Effect.TOKEN, window=60 * MS)
+UNSAFE = RequestClass("unsafe", 200 * MS, 1000 * MS, Effect.SIDE_EFFECT, retry_window=SECOND)
+KEYED = RequestClass("keyed", 200 * MS, 1000 * MS, Effect.TOKEN, retry_window=60 * MS)
 
 
 def rows(count: int, zone: int = 0, first: int = 100) -> list[Listing]:
--- a/tests/fleet/test_limits_lent.py
+++ b/tests/fleet/test_limits_lent.py
@@ -4,7 +4,16 @@
 
 from collections.abc import Sequence
 
-from flinthatch import Balancer, Effect, Listing, RequestClass, Settings, State, Update, parts
+from flinthatch import (
+    Balancer,
+    Effect,
+    Listing,
+    RequestClass,
+    Settings,
+    State,
+    Update,
+    shared_limits,
+)
 from flinthatch.balancer import NEVER, RETRY_BURST
 from tansywood.tenancy.limits import SECOND, Bucket
 from tests.fakes import Host
@@ -29,23 +38,23 @@
 
 def test_no_more_at_a_server_than_its_places() -> None:
     b, host = balancer()
-    parts.share(b, 0, {1: 2, 2: 1})
+    shared_limits.apply_limits(b, 0, {1: 2, 2: 1})
     for n in range(10):
         b.on_request(0, n, 0, 9 * SECOND)
     assert sorted(s for _, s in host.sent) == [1, 1, 2]
-    parts.share(b, 1, {1: 2})  # of one that is not named there are none
+    shared_limits.apply_limits(b, 1, {1: 2})  # of one that is not named there are none
     b.on_outcome(2, next(r for r, s in host.sent if s == 2), 0, 1, 1, True)
     assert len(host.sent) == 3
 
 
 def test_what_was_given_up_keeps_its_place_until_its_longest_deadline() -> None:
     b, host = balancer([1])
-    parts.share(b, 0, {1: 1})
+    shared_limits.apply_limits(b, 0, {1: 1})
     for n in range(3):
         b.on_request(0, n, 0, 9 * SECOND)
     assert host.sent == [(0, 1)]
     b.on_outcome(SECOND, 0, 0, 4, SECOND, True)  # timed out: the server may be at it yet
-    assert len(host.sent) == 1 and parts.at_work(b) == {1: 1}
+    assert len(host.sent) == 1 and shared_limits.count_occupied_slots(b) == {1: 1}
     b.on_request(8 * SECOND, 7, 0, 9 * SECOND)
     assert len(host.sent) == 1
     b.on_timer(9 * SECOND, 1)
@@ -59,7 +68,9 @@
 
 def test_over_parts_are_not_used_by_what_waits_already() -> None:
     b, host = balancer()
-    parts.share(b, 0, {1: 1, 2: 1}, until=100, after={1: 1})
+    shared_limits.apply_limits(
+        b, 0, {1: 1, 2: 1}, expires_at=100, granted_slots_after_expiry={1: 1}
+    )
     for n in range(4):
         b.on_request(0, n, 0, 9 * SECOND)
     assert len(host.sent) == 2
@@ -72,43 +83,47 @@
 
 def test_a_part_of_the_retries_and_of_a_cold_servers_trickle() -> None:
     b, _ = balancer()
-    parts.share(b, 0, None, instances=4, part=0.25)
+    shared_limits.apply_limits(b, 0, None, instance_count=4, retry_share=0.25)
     assert b.retry_most == RETRY_BURST / 4 >= b.retry_credit
     assert b.instances == 4
     row = b.backends[1]
     row.cold_until = 8 * SECOND
     b.pace(0, row)
-    assert row.rest_until == 4 * b.settings.fall  # a quarter of what one alone would send
-    parts.share(b, 0, None)
+    assert (
+        row.rest_until == 4 * b.settings.overload_window
+    )  # a quarter of what one alone would send
+    shared_limits.apply_limits(b, 0, None)
     assert b.retry_most == RETRY_BURST
 
 
 def test_a_doubted_server_gets_one_at_a_time_and_is_never_taken_away() -> None:
     b, host = balancer([1])
-    assert parts.doubt(b, 0, [1, 7], SECOND) == 1  # one that only a peer has named: nothing
+    assert (
+        shared_limits.mark_half_open(b, 0, [1, 7], SECOND) == 1
+    )  # one that only a peer has named: nothing
     for n in range(3):
         b.on_request(0, n, 0, 9 * SECOND)
     assert len(host.sent) == 1
     b.on_outcome(5, 0, 0, 1, 5, True)  # it answers us
     assert len(host.sent) == 3
-    assert parts.doubt(b, 6, [1], SECOND) == 0  # our own eyes go first
+    assert shared_limits.mark_half_open(b, 6, [1], SECOND) == 0  # our own eyes go first
 
 
 def test_a_try_is_left_to_another_and_taken_up_again() -> None:
     b, host = balancer([1, 2])
     b.eject(0, b.backends[1], "it is silent")
-    assert parts.ejected(b) == {1}
+    assert shared_limits.list_ejected(b) == {1}
     until = b.backends[1].ejected_until + SECOND
-    assert parts.wait(b, 0, 1, until) and b.backends[1].ejected_until == until
-    assert not parts.wait(b, 0, 1, until - 1)
-    assert not parts.wait(b, 0, 2, until)
-    assert parts.back(b, 1, 1) and not parts.back(b, 1, 1)
+    assert shared_limits.extend_ejection(b, 0, 1, until) and b.backends[1].ejected_until == until
+    assert not shared_limits.extend_ejection(b, 0, 1, until - 1)
+    assert not shared_limits.extend_ejection(b, 0, 2, until)
+    assert shared_limits.end_ejection(b, 1, 1) and not shared_limits.end_ejection(b, 1, 1)
     b.on_request(2, 1, 0, 9 * SECOND)
     b.on_request(2, 2, 0, 9 * SECOND)
     assert {s for _, s in host.sent} == {1, 2}
     b.on_outcome(3, 1, 0, 1, 1, True)
     b.on_outcome(3, 2, 0, 1, 1, True)
-    assert sorted(parts.answered_lately(b, 4, SECOND)) == [1, 2]
+    assert sorted(shared_limits.list_recent_answers(b, 4, SECOND)) == [1, 2]
 
 
 def test_the_module_alone_is_as_it_was() -> None:
--- a/tests/iso8583/world.py
+++ b/tests/iso8583/world.py
@@ -31,7 +31,7 @@
 FRAMING = Framing("binary2", tpdu=True)
 MAPPING = Mapping((Rule("balance", "02", "31"), Rule("credit", "02", "91")))
 BALANCE = RequestClass("balance", 20_000 * MS, 25_000 * MS, Effect.PURE)
-CREDIT = RequestClass("credit", 20_000 * MS, 25_000 * MS, Effect.SIDE_EFFECT, worth=5.0)
+CREDIT = RequestClass("credit", 20_000 * MS, 25_000 * MS, Effect.SIDE_EFFECT, value=5.0)
 TPDU = bytes.fromhex("6000010000")
 
 
@@ -42,7 +42,7 @@
             max_attempts=4,
             can_cancel=True,
             max_retry_after=2000 * MS,
-            cold=0,
+            slow_start=0,
         ),
         **over,
     )
--- a/tests/mass/test_fleet.py
+++ b/tests/mass/test_fleet.py
@@ -12,7 +12,7 @@
 
 from flinthatch import Balancer
 from flinthatch import balancer as decisions
-from flinthatch.watching import TOLD_S
+from flinthatch.list_polling import MAX_LIST_STALENESS_S
 from standins.mass.clock import MS, SECOND
 from standins.mass.day import KINDS, Day, Event, draw
 from standins.mass.fleet import Fleet
@@ -154,7 +154,7 @@
     for kind in ("herd", "join"):
         for seed in (1, 2):
             fleet = played(draw(kind, seed, nodes, seconds=10.0))
-            assert 0 < fleet.told_most < TOLD_S * SECOND, (kind, seed)
+            assert 0 < fleet.told_most < MAX_LIST_STALENESS_S * SECOND, (kind, seed)
 
 
 def test_every_ready_server_gets_work_soon() -> None:
--- a/tests/test_amend.py
+++ b/tests/test_amend.py
@@ -19,13 +19,13 @@
     State,
     Update,
 )
-from flinthatch.amend import RETIRED, amend, refuse_waiting
+from flinthatch.reconfigure import RETIRED_PREFIX, reconfigure, refuse_waiting
 
 from .fakes import KEYED, MS, PURE, SECOND, UNSAFE, Host, build
 
 SAFE = replace(PURE, name="x")
 NEVER = replace(UNSAFE, name="x")
-WITH_KEY = replace(KEYED, name="x", window=800 * MS)
+WITH_KEY = replace(KEYED, name="x", retry_window=800 * MS)
 
 
 def one(spec: RequestClass, count: int = 4) -> tuple[Balancer, Host]:
@@ -33,7 +33,7 @@
 
 
 def changed(balancer: Balancer, now: int, *specs: RequestClass) -> dict[str, int]:
-    return amend(balancer, now, replace(balancer.settings, classes=specs))
+    return reconfigure(balancer, now, replace(balancer.settings, classes=specs))
 
 
 def ask(balancer: Balancer, now: int, request: int, cls: int = 0) -> None:
@@ -149,7 +149,7 @@
     balancer, _ = one(SAFE)
     given: Any = {name: True if name == "ask" else 7}
     with pytest.raises(ValueError, match=name):
-        amend(balancer, 0, replace(balancer.settings, **given))
+        reconfigure(balancer, 0, replace(balancer.settings, **given))
 
 
 # ---- any sequence of changes and requests ---------------------------------------------------
@@ -193,7 +193,7 @@
             for rule in rules:
                 assert rule.effect != Effect.SIDE_EFFECT, "an unsafe request was repeated"
                 if rule.effect == Effect.TOKEN:
-                    assert self.now < self.first_run[request] + rule.window, "past its window"
+                    assert self.now < self.first_run[request] + rule.retry_window, "past its window"
         self.sent[request] = number + 1
         assert self.sent[request] <= 4
         self.out[request, number] = self.now
@@ -218,7 +218,7 @@
     rng = Random(seed)
     host = Watcher()
     classes = {name: a_class(rng, name) for name in NAMES[:2]}
-    settings = Settings(classes=tuple(classes.values()), max_attempts=4, cold=SECOND)
+    settings = Settings(classes=tuple(classes.values()), max_attempts=4, slow_start=SECOND)
     balancer = Balancer(settings, seed, host)
     balancer.start(0)
     servers = {100 + i: State.READY for i in range(3)}
@@ -243,7 +243,7 @@
             if outcome == Outcome.OK:
                 if key[0] not in host.ended:
                     host.ended[key[0]] = "served"
-            elif outcome not in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT):
+            elif outcome not in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
                 host.first_run.setdefault(key[0], sent)
             done = key[0] in host.ended
             balancer.on_outcome(now, key[0], key[1], outcome, now - sent, done)
@@ -267,7 +267,7 @@
             for request, of in live.items():
                 if of in classes and request not in host.ended:
                     host.met[request].append(classes[of])
-            numbers = amend(balancer, now, new)
+            numbers = reconfigure(balancer, now, new)
             assert sorted(numbers) == sorted(classes)
         elif step < 0.98:
             backend = rng.choice(list(servers))
@@ -299,5 +299,5 @@
     assert set(host.ended) == set(live), "each request has one answer"
     assert not balancer.requests and not balancer.running and not balancer.waiting
     assert len(balancer.classes) <= len(classes) + 4
-    amend(balancer, now, replace(balancer.settings, classes=tuple(classes.values())))
-    assert not any(c.spec.name.startswith(RETIRED) for c in balancer.classes)
+    reconfigure(balancer, now, replace(balancer.settings, classes=tuple(classes.values())))
+    assert not any(c.spec.name.startswith(RETIRED_PREFIX) for c in balancer.classes)
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -29,7 +29,7 @@
 
 
 def built(count: int = 3, cold: int = 8 * SECOND) -> tuple[Balancer, Host]:
-    return build(Settings(classes=(PURE, UNSAFE), max_attempts=4, cold=cold), count=count)
+    return build(Settings(classes=(PURE, UNSAFE), max_attempts=4, slow_start=cold), count=count)
 
 
 def ask(balancer: Balancer, now: int, count: int, first: int = 0) -> None:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -242,7 +242,7 @@
         (1, Outcome.RESET, "fail"),
         (1, Outcome.ERROR, "fail"),
         (2, Outcome.RESET, "refuse"),
-        (2, Outcome.MOOT, "refuse"),
+        (2, Outcome.NOT_SENT, "refuse"),
     ],
 )
 def test_the_outcome_of_what_is_out_is_the_answer(cls: int, outcome: Outcome, ends: str) -> None:
@@ -267,7 +267,7 @@
 
 def test_a_keyed_repeat_whose_dial_outlasts_the_servers_memory_does_not_begin() -> None:
     balancer, host = build()
-    window = balancer.classes[2].spec.window
+    window = balancer.classes[2].spec.retry_window
     balancer.on_request(0, 1, 2, 900 * MS)
     balancer.on_outcome(10 * MS, 1, 0, Outcome.RESET, 10 * MS, False)
     assert len(host.named("send")) == 2  # in time when it was sent
@@ -304,7 +304,7 @@
                 gone[rid] = [c for c in host.calls if c[0] in ("refuse", "fail") and c[1] == rid]
                 left.setdefault(rid, before)
             elif what == "end" and r.live:
-                outcome = rng.choice([Outcome.OK, Outcome.RESET, Outcome.FULL, Outcome.MOOT])
+                outcome = rng.choice([Outcome.OK, Outcome.RESET, Outcome.FULL, Outcome.NOT_SENT])
                 balancer.on_outcome(now, rid, before - 1, outcome, MS, r.ended)
             else:
                 balancer.on_timer(now, 1)
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -189,7 +189,7 @@
 
 def test_a_lone_failed_dial_rests_its_server_and_a_second_one_leaves_it_out() -> None:
     """The network breaks some dials; a process that is being replaced refuses the next too."""
-    balancer, host = build(Settings(classes=(UNSAFE,), cold=8 * SECOND), count=4)
+    balancer, host = build(Settings(classes=(UNSAFE,), slow_start=8 * SECOND), count=4)
     balancer.on_request(MS, 1, 0, SECOND)
     bad = balancer.backends[int(str(host.named("send")[0][2]))]
     balancer.on_outcome(2 * MS, 1, 0, 5, MS, True)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -130,7 +130,7 @@
 
 def test_hung_backends_do_not_cut_the_level() -> None:
     """One long time-out among answers is a matter of that backend's health."""
-    slow = RequestClass("slow", 200 * MS, 6 * SECOND, Effect.SIDE_EFFECT, late_worth=0.3)
+    slow = RequestClass("slow", 200 * MS, 6 * SECOND, Effect.SIDE_EFFECT, late_value=0.3)
     balancer, host = build(Settings(classes=(slow,)))
     before = balancer.concurrency_limit
     for i in range(10):
@@ -224,8 +224,8 @@
 
 
 def test_worth_moves_shares_when_requests_are_refused() -> None:
-    rich = RequestClass("rich", 200 * MS, SECOND, Effect.SIDE_EFFECT, worth=10.0)
-    poor = RequestClass("poor", 200 * MS, SECOND, Effect.SIDE_EFFECT, worth=1.0)
+    rich = RequestClass("rich", 200 * MS, SECOND, Effect.SIDE_EFFECT, value=10.0)
+    poor = RequestClass("poor", 200 * MS, SECOND, Effect.SIDE_EFFECT, value=1.0)
     balancer, host = build(Settings(classes=(rich, poor)), count=6)
     for k in range(12):
         now = (k + 1) * SECOND // 2
@@ -292,7 +292,7 @@
 def test_a_cold_backends_slots_grow_as_it_warms() -> None:
     """A zone just restarted is not held to two slots a backend until all is over."""
     start = Listing(100, State.READY, boot=20 * SECOND)
-    settings = Settings(classes=(PURE,), cold=10 * SECOND, cold_from=0.2)
+    settings = Settings(classes=(PURE,), slow_start=10 * SECOND, slow_start_fraction=0.2)
     balancer, _ = build(settings, count=1)
     balancer.concurrency_limit = 20.0
     caps = []
@@ -304,7 +304,7 @@
 
 def test_cold_backend_gets_its_part_only() -> None:
     cold = [Listing(100 + i, State.READY) for i in range(3)]
-    balancer, host = build(Settings(classes=(PURE,), cold=10 * SECOND), count=3)
+    balancer, host = build(Settings(classes=(PURE,), slow_start=10 * SECOND), count=3)
     now = 20 * SECOND
     balancer.on_members(now, Update.DELTA, [cold[0]._replace(boot=now - 1)])
     for i in range(300):
@@ -381,7 +381,7 @@
     longest: int, marks: bool, told: int
 ) -> None:
     """They would come back late, look like new, and keep a jam going."""
-    settings = Settings(classes=(PURE,), max_retry_after=longest, marks_retry=marks)
+    settings = Settings(classes=(PURE,), max_retry_after=longest, clients_mark_retries=marks)
     balancer, host = build(settings, count=1)
     for i in range(20):
         balancer.on_request(1, i, 0, SECOND)
@@ -528,8 +528,8 @@
 
 def test_a_class_turned_away_at_a_small_share_gets_out_of_it() -> None:
     """Eq. 8 with a refused class's mean predicts that one more slot cures it."""
-    poor = RequestClass("poor", 800 * MS, SECOND, Effect.SIDE_EFFECT, worth=1.0)
-    rich = RequestClass("rich", 750 * MS, SECOND, Effect.SIDE_EFFECT, worth=5.0)
+    poor = RequestClass("poor", 800 * MS, SECOND, Effect.SIDE_EFFECT, value=1.0)
+    rich = RequestClass("rich", 750 * MS, SECOND, Effect.SIDE_EFFECT, value=5.0)
     balancer, host = build(Settings(classes=(poor, rich)), count=40)
     for c, share in zip(balancer.classes, (157, 2), strict=True):
         c.share, c.share_sum, c.cycles = share, share * 6.0, 6.0
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -18,7 +18,13 @@
 
 from flinthatch import Balancer, Listing, RequestClass, Settings, State, Update
 from flinthatch.balancer import MAX_LIMIT, TIMER_WAKE
-from flinthatch.recall import HEALTH_AGE, LATENCY_AGE, LEAST_EJECTED, restore, save
+from flinthatch.learned_state import (
+    MAX_HEALTH_AGE_NS,
+    MAX_LATENCY_AGE_NS,
+    MIN_EJECTION_NS,
+    export_learned_state,
+    restore_learned_state,
+)
 from tansywood.service.node import KEY
 from tansywood.store import Store
 from windrelay.discovery import backend_id
@@ -32,7 +38,7 @@
 
 def learnt(count: int = 6, down: int = 1) -> Balancer:
     """A module that has left some servers alone."""
-    balancer, _ = build(Settings(classes=(UNSAFE,), cold=8 * SECOND), count=count)
+    balancer, _ = build(Settings(classes=(UNSAFE,), slow_start=8 * SECOND), count=count)
     for backend in list(balancer.backends.values())[:down]:
         backend.strikes = 4
         backend.backoff = 4 * SECOND
@@ -42,7 +48,7 @@
 
 def fresh(count: int = 6, boots: dict[int, int] | None = None) -> tuple[Balancer, Host]:
     host = Host()
-    balancer = Balancer(Settings(classes=(UNSAFE,), cold=8 * SECOND), 2, host)
+    balancer = Balancer(Settings(classes=(UNSAFE,), slow_start=8 * SECOND), 2, host)
     balancer.start(LATER)
     listed = [r._replace(boot=(boots or {}).get(r.backend, 0)) for r in rows(count)]
     balancer.on_members(LATER, Update.CACHED, listed)
@@ -50,8 +56,8 @@
 
 
 def recalled(saved: Balancer, balancer: Balancer, age: int = SECOND) -> object:
-    record = json.loads(json.dumps(save(saved, 10 * SECOND, WALL + 10 * SECOND)))
-    return restore(balancer, LATER, WALL + 10 * SECOND + age, record)
+    record = json.loads(json.dumps(export_learned_state(saved, 10 * SECOND, WALL + 10 * SECOND)))
+    return restore_learned_state(balancer, LATER, WALL + 10 * SECOND + age, record)
 
 
 def test_a_server_ejected_stays_so_for_the_rest_of_its_time() -> None:
@@ -72,16 +78,16 @@
     saved = learnt()
     balancer, _ = fresh()
     recalled(saved, balancer, age=20 * SECOND)
-    assert balancer.backends[100].ejected_until == LATER + LEAST_EJECTED
+    assert balancer.backends[100].ejected_until == LATER + MIN_EJECTION_NS
 
 
 def test_no_more_are_ejected_than_the_module_allows() -> None:
     saved = learnt(count=6, down=3)
-    record = save(saved, 10 * SECOND, WALL + 10 * SECOND)
+    record = export_learned_state(saved, 10 * SECOND, WALL + 10 * SECOND)
     for row in record["backends"].values():
         row["down"] = 5 * SECOND
     balancer, _ = fresh()
-    done = restore(balancer, LATER, WALL + 11 * SECOND, record)
+    done = restore_learned_state(balancer, LATER, WALL + 11 * SECOND, record)
     assert done.ejected == balancer.ejected == 3
 
 
@@ -101,7 +107,7 @@
 
 def test_the_same_start_is_the_same_in_the_next_process() -> None:
     """Starts are told by the wall clock and held by a clock that began elsewhere."""
-    saved, _ = build(Settings(classes=(UNSAFE,), cold=8 * SECOND))
+    saved, _ = build(Settings(classes=(UNSAFE,), slow_start=8 * SECOND))
     wall_boot = WALL + 6 * SECOND
     saved.on_members(9 * SECOND, Update.FULL, [Listing(100, State.READY, boot=6 * SECOND)])
     saved.backends[100].lat = 3.0
@@ -117,9 +123,9 @@
     clock = WALL + 11 * SECOND - LATER
     boot = WALL + 10 * SECOND - clock
     balancer, _ = fresh(boots={100: boot})
-    record = save(saved, 10 * SECOND, WALL + 10 * SECOND)
+    record = export_learned_state(saved, 10 * SECOND, WALL + 10 * SECOND)
     record["backends"]["100"] |= {"boot": boot + clock, "cold": -(10**18), "lat": 0.2}
-    restore(balancer, LATER, WALL + 11 * SECOND, record)
+    restore_learned_state(balancer, LATER, WALL + 11 * SECOND, record)
     assert balancer.backends[100].cold_until == boot + 8 * SECOND
 
 
@@ -128,15 +134,19 @@
     clock = WALL + 11 * SECOND - LATER
     boot = WALL + 10 * SECOND - clock
     balancer, _ = fresh(boots={100: boot})
-    record = save(saved, 10 * SECOND, WALL + 10 * SECOND)
+    record = export_learned_state(saved, 10 * SECOND, WALL + 10 * SECOND)
     record["backends"]["100"] |= {"boot": boot + clock, "cold": 2 * SECOND}
-    restore(balancer, LATER, WALL + 11 * SECOND, record)
+    restore_learned_state(balancer, LATER, WALL + 11 * SECOND, record)
     assert balancer.backends[100].cold_until == boot + 8 * SECOND
 
 
 @pytest.mark.parametrize(
     ("age", "says"),
-    [(-SECOND, "set back"), (HEALTH_AGE + SECOND, "health is"), (LATENCY_AGE + SECOND, "s old")],
+    [
+        (-SECOND, "set back"),
+        (MAX_HEALTH_AGE_NS + SECOND, "health is"),
+        (MAX_LATENCY_AGE_NS + SECOND, "s old"),
+    ],
 )
 def test_what_is_too_old_or_from_the_future_is_not_believed(age: int, says: str) -> None:
     saved = learnt()
@@ -161,7 +171,7 @@
 )
 def test_a_record_of_another_format_is_not_believed(record: object) -> None:
     balancer, _ = fresh()
-    assert restore(balancer, LATER, WALL, record).why
+    assert restore_learned_state(balancer, LATER, WALL, record).reason
     assert not balancer.ejected
 
 
@@ -182,7 +192,7 @@
         "classes": {"unsafe": {"lat": -1, "base": []}, "other": 7},
         "backends": {"100": nonsense, "101": 5, "abc": {}},
     }
-    restore(balancer, LATER, WALL, record)
+    restore_learned_state(balancer, LATER, WALL, record)
     b = balancer.backends[100]
     assert balancer.concurrency_limit <= MAX_LIMIT and b.lat <= 10 and b.strikes >= 0
     assert b.ejected_until <= LATER + 8 * SECOND and b.cold_until <= LATER + 8 * SECOND
@@ -193,8 +203,8 @@
     saved, _ = build(Settings(classes=classes))
     saved.classes[0].lat, saved.classes[0].base, saved.classes[0].lat_n = 20e6, 15e6, 100.0
     balancer, _ = build(Settings(classes=classes))
-    record = save(saved, SECOND, WALL)
-    assert restore(balancer, SECOND, WALL + MS, record).latencies == 1
+    record = export_learned_state(saved, SECOND, WALL)
+    assert restore_learned_state(balancer, SECOND, WALL + MS, record).latencies == 1
     assert (balancer.classes[0].lat, balancer.classes[0].base) == (20e6, 15e6)
     balancer.on_request(2 * SECOND, 1, 0, SECOND)
     balancer.on_outcome(2 * SECOND + 60 * MS, 1, 0, 1, 60 * MS, True)
--- a/tests/test_rooms.py
+++ b/tests/test_rooms.py
@@ -99,7 +99,7 @@
 def test_the_platform_node_loads_nothing_of_the_service() -> None:
     program = (
         "import runpy, sys\n"
-        "import windrelay.__main__, flinthatch.drill\n"
+        "import windrelay.__main__, flinthatch.simulator_adapter\n"
         "print([m for m in sys.modules if m.split('.')[0] in"
         " ('tansywood', 'standins', 'google_crc32c', 'msgspec') or m in"
         " ('jsonschema', 'starlette', 'uvicorn')])"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -25,7 +25,9 @@
 
 CLASSES = (
     RequestClass("pure", 200 * MS, 900 * MS, Effect.PURE),
-    RequestClass("unsafe", 200 * MS, 900 * MS, Effect.SIDE_EFFECT, window=SECOND, late_worth=0.3),
+    RequestClass(
+        "unsafe", 200 * MS, 900 * MS, Effect.SIDE_EFFECT, retry_window=SECOND, late_value=0.3
+    ),
     RequestClass("all", 200 * MS, 900 * MS, Effect.TOKEN, Scope.ALL, 60 * MS),
     RequestClass("zone", 200 * MS, 900 * MS, Effect.TOKEN, Scope.ZONE, 60 * MS),
     RequestClass("cell", 200 * MS, 900 * MS, Effect.TOKEN, Scope.CELL, 60 * MS),
@@ -62,7 +64,7 @@
             raise AssertionError("effect twice")
         if ran and spec.effect == Effect.TOKEN:
             first, row = self.rows[ran[0]["backend"]], self.rows[backend]
-            assert self.now <= ran[0]["sent"] + spec.window, "window"
+            assert self.now <= ran[0]["sent"] + spec.retry_window, "window"
             if spec.scope == Scope.ZONE:
                 assert first.zone == row.zone, "group"
             if spec.scope == Scope.CELL:
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -16,7 +16,13 @@
 import pytest
 
 from flinthatch import Balancer, Settings, Update
-from flinthatch.watching import DIAL_S, HOLD_MOST_MS, HOLD_MS, TOLD_S, Watching
+from flinthatch.list_polling import (
+    CONNECT_TIMEOUT_S,
+    MAX_HOLD_MS,
+    MAX_LIST_STALENESS_S,
+    MIN_HOLD_MS,
+    PollSchedule,
+)
 from windrelay import discovery as windrelay_discovery
 from windrelay.config import Address
 from windrelay.discovery import Call
@@ -38,22 +44,22 @@
         self.balancer = Balancer(settings, seed, self.host)
         self.balancer.start(0)
         self.balancer.on_members(0, Update.CACHED, [])
-        self.watch = Watching()
+        self.watch = PollSchedule()
         self.now = 0.0
 
     def answered(self, lasted: float = 0.0, news: bool = True) -> None:
         self.now += lasted
         self.balancer.on_members(int(self.now * SECOND), Update.DELTA, [])
-        self.now += self.watch.answered(lasted, news)
+        self.now += self.watch.delay_after_answer(lasted, news)
 
     def fails(self, how: str) -> None:
         """The call that is open now ends this way; `now` is then when the next one is made."""
-        ask = self.watch.ask(1, in_doubt=False)
-        self.now += {"silent": ask.wait, "dial": DIAL_S}.get(how, INSTANT_S)
+        ask = self.watch.next_poll(1, service_behind=False)
+        self.now += {"silent": ask.timeout_s, "dial": CONNECT_TIMEOUT_S}.get(how, INSTANT_S)
         if how == "unusable":
-            after = self.watch.unusable()
+            after = self.watch.delay_after_invalid_answer()
         else:
-            after = self.watch.failed(hung=how in ("silent", "dial"))
+            after = self.watch.delay_after_failure(timed_out=how in ("silent", "dial"))
         if after is None:
             self.host.calls.clear()
             self.balancer.on_members(int(self.now * SECOND), Update.FAILED, [])
@@ -80,7 +86,7 @@
         began = one.now
         one.fails(first)
         one.fails(second)
-        assert one.now + ANSWER_S - began < TOLD_S
+        assert one.now + ANSWER_S - began < MAX_LIST_STALENESS_S
 
 
 def test_after_any_outage_the_list_is_asked_in_time(seeds: int = 400) -> None:
@@ -96,7 +102,7 @@
             began = one.now
             one.fails(order[-1])
             worst = max(worst, one.now + ANSWER_S - began)
-            assert one.now + ANSWER_S - began < TOLD_S, order
+            assert one.now + ANSWER_S - began < MAX_LIST_STALENESS_S, order
     assert worst > 3.0  # the longest back-off was met
 
 
@@ -113,23 +119,23 @@
 
 
 def test_a_crowded_service_is_asked_less_often_and_a_quick_one_in_time_again() -> None:
-    watch = Watching()
+    watch = PollSchedule()
     for _ in range(20):
-        hold = watch.ask(1, False).hold_ms
+        hold = watch.next_poll(1, False).hold_ms
         assert hold is not None
-        watch.answered(hold / 1000 + 1.0, news=False)
-    assert watch.ask(1, False).hold_ms == HOLD_MOST_MS
+        watch.delay_after_answer(hold / 1000 + 1.0, changed=False)
+    assert watch.next_poll(1, False).hold_ms == MAX_HOLD_MS
     for _ in range(20):
-        hold = watch.ask(1, False).hold_ms
+        hold = watch.next_poll(1, False).hold_ms
         assert hold is not None
-        watch.answered(hold / 1000 + 0.01, news=False)
-    assert watch.ask(1, False).hold_ms == HOLD_MS
+        watch.delay_after_answer(hold / 1000 + 0.01, changed=False)
+    assert watch.next_poll(1, False).hold_ms == MIN_HOLD_MS
 
 
 def test_a_service_that_answers_at_once_with_nothing_new_is_not_asked_without_end() -> None:
-    watch = Watching()
-    assert watch.answered(0.001, news=False) >= 0.1
-    assert watch.answered(0.001, news=True) == 0.0
+    watch = PollSchedule()
+    assert watch.delay_after_answer(0.001, changed=False) >= 0.1
+    assert watch.delay_after_answer(0.001, changed=True) == 0.0
 
 
 # ---- on sockets -----------------------------------------------------------------
@@ -177,9 +183,9 @@
     """The bound is on the times that the node goes by; the process shows that it asks anew."""
     with inside(tmp_path, roster(), settings=PUSHED) as one:
         grace_s = one.config.settings.drain_grace / SECOND
-        assert one.node.discovery._watch.ask(1, in_doubt=False).wait <= grace_s / 2
-        assert one.node.discovery._watch.failed(hung=True) == 0.0
-        assert one.node.discovery._watch.failed(hung=True) <= grace_s / 4  # type: ignore[operator]
+        assert one.node.discovery._watch.next_poll(1, service_behind=False).timeout_s <= grace_s / 2
+        assert one.node.discovery._watch.delay_after_failure(timed_out=True) == 0.0
+        assert one.node.discovery._watch.delay_after_failure(timed_out=True) <= grace_s / 4  # type: ignore[operator]
     with listen() as agent, node(tmp_path, roster(), port(agent), settings=PUSHED):
         for _ in range(4):  # each of them silent
             peer = accept(agent)
@@ -191,7 +197,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A machine that is cut off answers no SYN: that is known long before a watch would end."""
-    monkeypatch.setattr(windrelay_discovery, "DIAL_S", 0.05)
+    monkeypatch.setattr(windrelay_discovery, "CONNECT_TIMEOUT_S", 0.05)
     with socket.socket() as full, inside(tmp_path, roster()) as one:
         full.bind(("127.0.0.1", 0))
         full.listen(0)
@@ -221,7 +227,12 @@
             call = Call(Address("127.0.0.1", port(service)), "/", 1000.0, ended.append)
             first = call._handle.when()
             await one.until(lambda: call.asked_at)
-            assert first - one.loop.time() < DIAL_S < 900 < call._handle.when() - one.loop.time()
+            assert (
+                first - one.loop.time()
+                < CONNECT_TIMEOUT_S
+                < 900
+                < call._handle.when() - one.loop.time()
+            )
             call.drop()
             await asyncio.sleep(0)
 
@@ -230,6 +241,6 @@
 
 
 def test_the_grace_says_how_soon_an_agent_is_asked_anew() -> None:
-    assert Watching(agent_ms=250).ask(3, False) == (3, 250, 0.5)
-    assert Watching(agent_ms=250).ask(3, True).since == 0
+    assert PollSchedule(agent_hold_ms=250).next_poll(3, False) == (3, 250, 0.5)
+    assert PollSchedule(agent_hold_ms=250).next_poll(3, True).since == 0
     assert Settings(classes=(PURE,)).drain_grace // MS // 4 == 250
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from flinthatch.drill import Drill, WireError, serve, settings_from_json
+from flinthatch.simulator_adapter import ProtocolError, SimulatorAdapter, serve, settings_from_json
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -120,13 +120,13 @@
     ],
 )
 def test_malformed_input_is_named_not_guessed(data: bytes) -> None:
-    with pytest.raises(WireError):
+    with pytest.raises(ProtocolError):
         serve(io.BytesIO(data), io.BytesIO())
 
 
 def run(data: bytes, seed: str = "0") -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
-        [sys.executable, "-B", "-m", "flinthatch.drill"],
+        [sys.executable, "-B", "-m", "flinthatch.simulator_adapter"],
         input=data,
         capture_output=True,
         cwd=ROOT,
@@ -159,7 +159,7 @@
 
 
 def test_instances_share_nothing() -> None:
-    drill = Drill()
+    drill = SimulatorAdapter()
     body = hello(3) + hello(4) + catalog(1) + MEMBERS
     drill.batch(1, 4, body)
     assert drill.nodes[3].balancer is not drill.nodes[4].balancer
@@ -168,5 +168,5 @@
 
 
 def test_settings_lack_is_named() -> None:
-    with pytest.raises(WireError, match="balancers"):
+    with pytest.raises(ProtocolError, match="balancers"):
         settings_from_json(json.dumps({"classes": [], "rules": {}}).encode())
--- a/windrelay/config.py
+++ b/windrelay/config.py
@@ -8,8 +8,8 @@
 from typing import Any, NamedTuple
 
 from flinthatch import Settings
-from flinthatch.drill import WireError, settings_from_json
-from flinthatch.reading import Place, Unusable, shown
+from flinthatch.settings_reader import InvalidSettingError, SettingsObject, format_value
+from flinthatch.simulator_adapter import ProtocolError, settings_from_json
 
 DEFAULT_MEMORY_MB = 128
 DEFAULT_SOCKETS = 1024
@@ -117,46 +117,50 @@
     for key in told:
         raw[key] = environ.get(f"PROXY_{key.upper()}") or raw.get(key)
     try:
-        return _config(Place(raw, ""), words)
-    except (Unusable, WireError) as err:
+        return _config(SettingsObject(raw, ""), words)
+    except (InvalidSettingError, ProtocolError) as err:
         raise ConfigError(f"{path}: {err}") from None
 
 
-def _address(raw: Place, key: str) -> Address:
+def _address(raw: SettingsObject, key: str) -> Address:
     text = raw.value(key)
     try:
         return parse_address(text)
     except ValueError:
-        raise Unusable(f"{raw.where(key)} is {shown(text)}: host:port is wanted") from None
+        raise InvalidSettingError(
+            f"{raw.path_of(key)} is {format_value(text)}: host:port is wanted"
+        ) from None
 
 
-def _seed(raw: Place) -> int:
+def _seed(raw: SettingsObject) -> int:
     word = raw.raw.get("seed") or "0"
     try:
         return int(str(word), 16)
     except ValueError:
-        raise Unusable(f"{raw.where('seed')} is {shown(word)}: hexadecimal is wanted") from None
+        raise InvalidSettingError(
+            f"{raw.path_of('seed')} is {format_value(word)}: hexadecimal is wanted"
+        ) from None
 
 
-def _config(raw: Place, words: dict[str, Any]) -> Config:
-    limits = raw.under("limits")
-    settings = raw.under("settings", needed=True)
-    theirs = settings.under("limits")
+def _config(raw: SettingsObject, words: dict[str, Any]) -> Config:
+    limits = raw.child("limits")
+    settings = raw.child("settings", required=True)
+    theirs = settings.child("limits")
     known = raw.raw.get("known") or {"rev": 0, "all": True, "targets": []}
     return Config(
-        name=raw.word("name"),
+        name=raw.string("name"),
         listen=_address(raw, "listen"),
         discovery=_address(raw, "discovery"),
         seed=_seed(raw),
-        memory_mb=limits.whole("memory_mb", DEFAULT_MEMORY_MB, least=1),
-        sockets=limits.whole("sockets", DEFAULT_SOCKETS, least=MIN_SOCKETS),
-        known=dict(Place(known, "known").raw),
+        memory_mb=limits.integer("memory_mb", DEFAULT_MEMORY_MB, minimum=1),
+        sockets=limits.integer("sockets", DEFAULT_SOCKETS, minimum=MIN_SOCKETS),
+        known=dict(SettingsObject(known, "known").raw),
         settings=settings_from_json(json.dumps(settings.raw).encode()),
-        zones=settings.words("areas"),
-        kinds=settings.words("skus"),
-        idle_close=theirs.whole("idle_close", 15_000_000_000),
-        max_open=theirs.whole("open_cap", 20_000, least=1),
-        reports=settings.under("load_info").word("how", "off") != "off",
+        zones=settings.strings("areas"),
+        kinds=settings.strings("skus"),
+        idle_close=theirs.integer("idle_close", 15_000_000_000),
+        max_open=theirs.integer("open_cap", 20_000, minimum=1),
+        reports=settings.child("load_info").string("how", "off") != "off",
         raw=words,
         mgmt=_address(raw, "mgmt") if raw.raw.get("mgmt") else None,
     )
--- a/windrelay/discovery.py
+++ b/windrelay/discovery.py
@@ -13,7 +13,12 @@
 import httptools
 
 from flinthatch import Listing, State, Update
-from flinthatch.watching import AGENT_LEAST_MS, DIAL_S, FETCH_S, Watching
+from flinthatch.list_polling import (
+    CONNECT_TIMEOUT_S,
+    FULL_LIST_TIMEOUT_S,
+    MIN_AGENT_HOLD_MS,
+    PollSchedule,
+)
 from windrelay.config import Address, Config, parse_address
 
 MAX_ANSWER = 2 << 20  # some thousands of backends
@@ -215,7 +220,7 @@
         self._wait = wait  # seconds from the connection's making on
         self.asked_at = 0.0  # by the loop's clock, 0 for as long as there is no connection
         self.hung = False  # ended because nothing came in time
-        self._handle = loop.call_later(min(DIAL_S, wait), self._expired)
+        self._handle = loop.call_later(min(CONNECT_TIMEOUT_S, wait), self._expired)
         self._task = loop.create_task(self._connect(address))
 
     async def _connect(self, address: Address) -> None:
@@ -305,7 +310,9 @@
         self._old = 0
         self._watching = False
         grace_ms = config.settings.drain_grace // 1_000_000
-        self._watch = Watching(0 if config.settings.ask else max(grace_ms // 4, AGENT_LEAST_MS))
+        self._watch = PollSchedule(
+            0 if config.settings.ask else max(grace_ms // 4, MIN_AGENT_HOLD_MS)
+        )
         self._rev = 0  # in hand as the watch's last call was made
         self._retry: asyncio.TimerHandle | None = None
         self._calls: set[Call] = set()
@@ -338,7 +345,7 @@
         self._next_watch()
 
     def fetch(self) -> None:
-        self._call("/registry/instances", FETCH_S, self._fetched)
+        self._call("/registry/instances", FULL_LIST_TIMEOUT_S, self._fetched)
 
     def move(self, address: Address) -> None:
         """Go on at another address, at once and from a whole list.
@@ -352,7 +359,7 @@
             return
         self._address = address
         self._drop_calls()
-        self._watch.begin()
+        self._watch.restart()
         self._old = 0
         self._watching = True
         self._next_watch()
@@ -381,22 +388,22 @@
     def _next_watch(self) -> None:
         self._retry = None
         self._rev = self.roster.rev
-        ask = self._watch.ask(self._rev, in_doubt=self._old > 0)
+        ask = self._watch.next_poll(self._rev, service_behind=self._old > 0)
         target = "/registry/instances"
         if ask.hold_ms is not None:
             target += f"?from={ask.since}&hold_ms={ask.hold_ms}"
-        self._call(target, ask.wait, self._watched)
+        self._call(target, ask.timeout_s, self._watched)
 
     def _watched(self, call: Call, body: bytes | None) -> None:
         if not self._watching:
             return
-        after = self._watch.failed(call.hung) if body is None else None
-        if after is None or self._watch.agent_ms:
+        after = self._watch.delay_after_failure(call.hung) if body is None else None
+        if after is None or self._watch.agent_hold_ms:
             if self._take(body):
                 lasted = asyncio.get_running_loop().time() - call.asked_at
-                after = self._watch.answered(lasted, self.roster.rev != self._rev)
+                after = self._watch.delay_after_answer(lasted, self.roster.rev != self._rev)
             elif body is not None:
-                after = self._watch.unusable()
+                after = self._watch.delay_after_invalid_answer()
         if after is None:
             self._watching = False
         elif after > 0:
@@ -416,7 +423,7 @@
                 raise ListError("the call failed")
             update, rows, endpoints, bad = roster.read(raw)
             rev = raw["rev"]
-            if self._watch.moved:
+            if self._watch.address_changed:
                 if update != Update.FULL:
                     raise ListError("the first list of a new service is not whole")
             elif rev < roster.rev:
@@ -433,7 +440,7 @@
         if bad:
             self.log(f"{bad} rows of a discovery answer can't be read")
         self._old = 0
-        self._watch.moved = False
+        self._watch.address_changed = False
         rows += roster.taken_over(rows, endpoints)
         stale = roster.apply(rev, update, rows, endpoints)
         self._told(update, rows, stale)
--- a/windrelay/node.py
+++ b/windrelay/node.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from flinthatch import Balancer, Listing, Outcome, Settings, Update
-from flinthatch.amend import amend
+from flinthatch.reconfigure import reconfigure
 from windrelay.config import Config
 from windrelay.ports import Asked, Caller, Carrier, Link, Members
 
@@ -197,10 +197,10 @@
         return numbers
 
     def retune(self, settings: Settings) -> dict[str, int]:
-        """Other classes, rules and limits for what comes; see `amend` for what is under way."""
+        """Other classes, rules and limits for what comes; see `reconfigure`."""
         now = self.enter()
         try:
-            return amend(self.balancer, now, settings)
+            return reconfigure(self.balancer, now, settings)
         finally:
             self.leave()
 
@@ -434,7 +434,7 @@
         left = r.deadline - now
         limit = min(timeout, left) if timeout else left
         if r.ended or left <= 0 or len(r.attempts) > self.config.settings.max_attempts:
-            self.conclude(a, Outcome.MOOT)
+            self.conclude(a, Outcome.NOT_SENT)
         elif limit <= 0:
             self.conclude(a, Outcome.TIMEOUT)
         else:
@@ -548,7 +548,7 @@
             return
         connection = a.connection
         if connection is not None and not connection.abandon():
-            outcome = Outcome.MOOT
+            outcome = Outcome.NOT_SENT
         self.conclude(a, outcome)
 
     def overdue(self, r: Request) -> None:
--- a/windrelay/operate.py
+++ b/windrelay/operate.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from flinthatch import Balancer, Listing
-from flinthatch.recall import restore, save
+from flinthatch.learned_state import export_learned_state, restore_learned_state
 from windrelay.discovery import backend_id
 from windrelay.http_node import HttpNode
 from windrelay.management import CallError
@@ -96,7 +96,7 @@
             "bans": list(node.balancer.banned),
             "evacuated": self.server.evacuated,
             "list": roster.export(),
-            "learnt": save(node.balancer, now, now + roster.clock),
+            "learnt": export_learned_state(node.balancer, now, now + roster.clock),
         }
 
     def inherit(self, state: dict[str, Any]) -> None:
@@ -119,7 +119,7 @@
 
         def recall(balancer: Balancer, now: int) -> None:
             clock = node.discovery.roster.clock
-            restore(balancer, now, now + clock, state.get("learnt"))
+            restore_learned_state(balancer, now, now + clock, state.get("learnt"))
 
         node.known = known  # type: ignore[method-assign]
         node.recall = recall
--- a/windrelay/upstream.py
+++ b/windrelay/upstream.py
@@ -148,7 +148,7 @@
             return  # connection_lost ends it
         self._let_go()
         if isinstance(error, OSError) and error.errno in OWN_WANT:
-            self._settle(Outcome.MOOT)  # says nothing of the backend
+            self._settle(Outcome.NOT_SENT)  # says nothing of the backend
             return
         if error is not None and not isinstance(error, OSError):
             self.upstream.node.crashed("a dial", error)
@@ -187,7 +187,7 @@
         # Too late for this one; the connection has cost its handshake and serves another.
         self.attempt = None
         self.upstream.put(self)
-        self.upstream.node.conclude(attempt, Outcome.MOOT)
+        self.upstream.node.conclude(attempt, Outcome.NOT_SENT)
 
     # ---- the request --------------------------------------------------
 
@@ -231,7 +231,7 @@
                 return
             attempt = self.attempt
             if len(self._unsent) == 1 and attempt and not self.upstream.node.may_begin(attempt):
-                self._settle(Outcome.MOOT)
+                self._settle(Outcome.NOT_SENT)
                 return
             transport.write(self._unsent.popleft())
             self.written = not self._unsent and not transport.is_closing()
@@ -557,7 +557,7 @@
 
     def withdraw(self) -> None:
         """End a dial whose backend wants nothing new by now: that says nothing of it."""
-        self._settle(Outcome.MOOT)
+        self._settle(Outcome.NOT_SENT)
 
     def _broken(self) -> None:
         """The connection is of no more use; whoever waits on it learns so."""
@@ -707,7 +707,7 @@
             conn.abandon()
         if not self.node.room_for_upstream():
             # Our own want of descriptors says nothing of the backend.
-            self.node.conclude(attempt, Outcome.MOOT)
+            self.node.conclude(attempt, Outcome.NOT_SENT)
             return
         conn = BackendConnection(self, backend, address)
         attempt.connection = conn
