--- a/tansywood/iso8583/front.py
+++ b/tansywood/iso8583/front.py
@@ -1,4 +1,4 @@
-"""Terminals and billing systems that speak ISO 8583: the front of a node (its Caller port)."""
+"""Terminals and billing systems that speak ISO 8583: the front of a node (its windrelay Caller)."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 
 
 class Asked:
-    """A request as the node has it (windrelay's Asked port)."""
+    """A request as the node has it (a windrelay ParsedRequest)."""
 
     __slots__ = (
-        "at", "cls", "codec", "hint", "key", "lasts", "message", "raw", "reserved", "retried",
-        "rid", "tenant", "timeout",
+        "at", "class_number", "codec", "cost_hint", "is_retry", "key", "lasts", "message", "raw",
+        "request_id", "reserved_bytes", "tenant", "timeout_ns",
     )  # fmt: skip
 
     def __init__(
@@ -55,15 +55,15 @@
         self.message = message
         self.raw = raw
         self.at = at  # of its trace number in these bytes
-        self.cls = cls
+        self.class_number = cls
         self.tenant = 0
         self.key = 0
-        self.hint = 0
-        self.retried = repeats_first(message)
-        self.timeout = timeout
+        self.cost_hint = 0
+        self.is_retry = repeats_first(message)
+        self.timeout_ns = timeout
         self.lasts = caller.lasts
-        self.rid = caller.key.encode()
-        self.reserved = len(raw)
+        self.request_id = caller.key.encode()
+        self.reserved_bytes = len(raw)
 
 
 def repeats_first(message: Message) -> bool:
@@ -85,19 +85,19 @@
         self.lasts = lasts  # its effect outlasts us, and so must what is known of it
         self.request: NodeRequest | None = None
 
-    def answer(self, *answer: Any) -> None:
+    def send_response(self, *answer: Any) -> None:
         """Served: the bytes of the answer, under the caller's own trace number, and its code."""
         raw, code = answer
         server = self.conn.server
         booked = not self.lasts or code in server.mapping.approved
         server.settle(self, raw, Fate.APPROVED if booked else Fate.DECLINED)
 
-    def refused(self, retry_after: int) -> None:
+    def refuse(self, retry_after: int) -> None:
         server = self.conn.server
         answer = server.refusal(self.message, retry_after)
         server.settle(self, server.codec.encode(answer), Fate.NEVER_RAN)
 
-    def failed(self, late: bool) -> None:
+    def fail(self, late: bool) -> None:
         server = self.conn.server
         answer = reply_to(self.message, server.mapping.failed)
         server.settle(self, server.codec.encode(answer), Fate.IN_DOUBT)
@@ -255,9 +255,9 @@
             if verdict == Verdict.NEW:
                 if caller.lasts and not self.reversals.came(key, self.now_ms()):
                     if self.reversals.fate(key) == Fate.REVERSED:
-                        caller.refused(0)
+                        caller.refuse(0)
                     else:
-                        caller.failed(late=True)  # it may have run, long ago for a repeat
+                        caller.fail(late=True)  # it may have run, long ago for a repeat
                 else:
                     self.begin(caller, number, one.body, at)
 
@@ -279,14 +279,14 @@
         deadline = self.deadlines[number] // MS
         left = self.mapping.left_ms(caller.message, deadline, self.now_ms())
         if left <= 0:
-            caller.refused(0)  # nobody waits for it any more
+            caller.refuse(0)  # nobody waits for it any more
             return
         asked = Asked(self.codec, caller, number, left * MS, raw, at)
         node.budget.take(size)
         request = node.request(caller, asked, 0)
         if request is None:
             node.budget.give(size)
-            caller.refused(0)
+            caller.refuse(0)
         else:
             caller.request = request
 
@@ -298,7 +298,7 @@
         if not request.asked.lasts:
             then(True)
             return
-        key = request.asked.rid.decode()
+        key = request.asked.request_id.decode()
         if not self.reversals.sent(key, f"{attempt.backend}:{stan}", self.now_ms()):
             then(False)
         elif self.records is None:
@@ -368,7 +368,7 @@
         caller = self.open.pop(key, None)
         if caller is not None and caller.request is not None:
             self.node.client_gone(caller.request)
-            caller.refused(0)
+            caller.refuse(0)
 
     def pay(self) -> None:
         """Forward what is due to the servers that it is owed to."""
--- a/tansywood/iso8583/link.py
+++ b/tansywood/iso8583/link.py
@@ -1,4 +1,4 @@
-"""Connections to ISO 8583 servers: one carries many attempts at a time (windrelay's Link port).
+"""Connections to ISO 8583 servers: many attempts share one (a windrelay ConnectionPool).
 
 The line that the rules hang on is the same as for HTTP: an attempt whose last byte has
 certainly not left this process never ran; of any other it is in doubt. On one connection that
@@ -24,7 +24,7 @@
 from windrelay.config import Address
 from windrelay.discovery import Discovery
 from windrelay.node import Attempt, Node
-from windrelay.upstream import LAST_TURNS
+from windrelay.upstream import DIAL_GRACE_TURNS
 
 MS = 1_000_000
 REST_MS = 300_000  # of a trace number: longer than any deadline there may be
@@ -38,7 +38,7 @@
 
 
 class Carried:
-    """One attempt on its connection (windrelay's Carrier port)."""
+    """One attempt on its connection (a windrelay AttemptHandle)."""
 
     __slots__ = ("attempt", "conn", "end")
 
@@ -85,7 +85,7 @@
         self.over = False
         self.drains = False  # nothing new: its server leaves
         self.timer = link.node.loop.call_later(
-            link.node.config.settings.connect_timeout / 1e9, self.late, LAST_TURNS
+            link.node.config.settings.connect_timeout / 1e9, self.late, DIAL_GRACE_TURNS
         )
         self.task = link.node.loop.create_task(self.dial())
         self.task.add_done_callback(self.dialled)
@@ -261,7 +261,7 @@
                 back = codec.with_stan(raw, at, str(event.message.fields[11]))
             else:
                 back = r.asked.codec.encode(event.message)
-            r.client.answer(back, event.message.fields.get(39))
+            r.client.send_response(back, event.message.fields.get(39))
         self.conclude(one, outcome)
         self.link.rests(self)
 
@@ -321,7 +321,7 @@
 
 
 class IsoLink:
-    """All connections to a node's ISO 8583 servers (windrelay's Link port)."""
+    """All connections to a node's ISO 8583 servers (a windrelay ConnectionPool)."""
 
     def __init__(
         self,
@@ -349,11 +349,11 @@
         self.conns: dict[int, list[ServerConnection]] = {}
 
     @property
-    def count(self) -> int:
+    def descriptor_count(self) -> int:
         return sum(map(len, self.conns.values()))
 
-    @count.setter
-    def count(self, value: int) -> None:
+    @descriptor_count.setter
+    def descriptor_count(self, value: int) -> None:
         raise AttributeError("it is counted")
 
     def send(self, attempt: Attempt) -> None:
@@ -412,7 +412,7 @@
         if conn.drains and not conn.carried and not conn.machine.out:
             conn.ended("its server has left")
 
-    def withdraw(self, backend: int) -> None:
+    def drain_backend(self, backend: int) -> None:
         """Begin nothing more there: what waits for a dial or a sign-on never ran."""
         for conn in self.conns.get(backend, ()):
             waiting, conn.waiting = conn.waiting, []
@@ -426,7 +426,7 @@
             conn.drains = True
             self.rests(conn)
 
-    def drop_oldest(self) -> bool:
+    def close_oldest_idle(self) -> bool:
         for conns in self.conns.values():
             for conn in conns:
                 if not conn.carried and conn.machine.state == State.SIGNED:
--- a/tansywood/service/tenant.py
+++ b/tansywood/service/tenant.py
@@ -18,8 +18,8 @@
 from tansywood.tenancy.limits import Bucket
 from tansywood.tenancy.settings import ACTIVE, DELETED, DRAINING, TenantSettings, read
 from windrelay.http_node import HttpNode
+from windrelay.interfaces import StreamSource
 from windrelay.node import Node
-from windrelay.ports import Source
 from windrelay.server import (
     EMPTY_RESPONSE_HEADS,
     BadRequest,
@@ -123,12 +123,12 @@
         if not incoming.is_probe:
             if not self._revalidate_head(incoming):
                 return
-            self._cls = hosted.class_names.get(incoming.cls, "")
+            self._cls = hosted.class_names.get(incoming.class_number, "")
             hosted.report.asked(self._cls)
             refusal = hosted.refusal()
             if refusal is not None:
                 status, wait, why = refusal
-                hosted.node.budget.give(incoming.reserved)
+                hosted.node.budget.give(incoming.reserved_bytes)
                 self._keep_alive = incoming.keep_alive and status == 429
                 hosted.report.refused(self._cls, why)
                 super().send_empty_response(status, wait)
@@ -137,17 +137,17 @@
 
     # ---- what it got --------------------------------------------------------------------
 
-    def answer(self, content_type: bytes, chunks: list[bytes], size: int) -> None:
+    def send_response(self, content_type: bytes, chunks: list[bytes], size: int) -> None:
         request = self._request
         if request is not None:
             self._hosted.report.served(self._cls, self._hosted.node.now - request.arrived)
-        super().answer(content_type, chunks, size)
+        super().send_response(content_type, chunks, size)
 
-    def begin(self, content_type: bytes, length: int, source: Source) -> None:
+    def begin_stream(self, content_type: bytes, length: int, source: StreamSource) -> None:
         request = self._request
         if request is not None:
             self._hosted.report.served(self._cls, self._hosted.node.now - request.arrived)
-        super().begin(content_type, length, source)
+        super().begin_stream(content_type, length, source)
 
     def send_empty_response(self, status: int, retry_after: int) -> None:
         report = self._hosted.report
@@ -314,7 +314,7 @@
         self.node.fail_all()
         for conn in list(self.server.connections):
             conn.close()
-        while self.node.upstream.drop_oldest():
+        while self.node.upstream.close_oldest_idle():
             pass
         self.node.discovery.close()
         if self.node.timer is not None:
--- a/tests/inside.py
+++ b/tests/inside.py
@@ -62,10 +62,10 @@
             one.server.stop_accepting()
             for conn in list(one.server.connections):
                 conn.close()
-            while one.node.upstream.drop_oldest():
+            while one.node.upstream.close_oldest_idle():
                 pass
             one.node.discovery.close()
-            await one.until(lambda: not one.node.clients and not one.node.upstream.count)
+            await one.until(lambda: not one.node.clients and not one.node.upstream.descriptor_count)
             await one.turns()
 
         one.run(stop())
--- a/tests/iso8583/test_mixed.py
+++ b/tests/iso8583/test_mixed.py
@@ -66,7 +66,7 @@
         self.server.stop_accepting()
         for conn in list(self.server.connections):
             conn.close()
-        while self.node.upstream.drop_oldest():
+        while self.node.upstream.close_oldest_idle():
             pass
         if self.node.timer is not None:
             self.node.timer.cancel()
--- a/tests/iso8583/test_taking_back.py
+++ b/tests/iso8583/test_taking_back.py
@@ -169,7 +169,7 @@
             terminal = await w.terminal()
             original = terminal.message()
             answer = terminal.write(original)
-            await until(lambda: w.front.open and w.node.upstream.count)
+            await until(lambda: w.front.open and w.node.upstream.descriptor_count)
             assert await code(terminal, terminal.reversal(original)) == APPROVED
             assert (await answer).fields[39] == "91"
             server.wake()
@@ -347,7 +347,7 @@
             assert await code(terminal, terminal.reversal(original)) == APPROVED
             clock.ms += STUCK_MS
             w.front.sweep()
-            assert not w.node.upstream.count  # nobody dials it
+            assert not w.node.upstream.descriptor_count  # nobody dials it
             assert not reversals(server) and any("owed" in line for line in w.logged)
             w.node.include(backend)
             clock.ms += 60_000
--- a/tests/crossing.py
+++ b/tests/race_harness.py
@@ -21,7 +21,7 @@
 RESET = b"\1\0\0\0\0\0\0\0"  # of SO_LINGER: a close resets the connection
 
 
-class End:
+class ScriptedPeer:
     """One end of a connection, on the node's own loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
@@ -33,7 +33,7 @@
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
-    async def more(self) -> bool:
+    async def receive(self) -> bool:
         while True:
             try:
                 # Not through the loop: a socket that it waits on is not closed by its close().
@@ -49,21 +49,21 @@
     async def message(self) -> tuple[str, dict[str, str], bytes]:
         """One whole message with Content-Length: first line, headers, body."""
         while b"\r\n\r\n" not in self.buffer:
-            assert await self.more(), f"ended after {self.buffer!r}"
+            assert await self.receive(), f"ended after {self.buffer!r}"
         head, _, self.buffer = self.buffer.partition(b"\r\n\r\n")
         first, headers = parts(head)
         size = int(headers.get("content-length", "0"))
         while len(self.buffer) < size:
-            assert await self.more(), "ended within a body"
+            assert await self.receive(), "ended within a body"
         body, self.buffer = self.buffer[:size], self.buffer[size:]
         return first, headers, body
 
     async def status(self) -> int:
         return int((await self.message())[0].split(" ")[1])
 
-    async def ends(self) -> bytes:
+    async def read_to_end(self) -> bytes:
         """Everything up to the end of the connection."""
-        while await self.more():
+        while await self.receive():
             pass
         return self.buffer
 
@@ -87,20 +87,20 @@
         self.loop = one.loop
         self.servers = servers
         self.port = one.server.listen(one.config.listen)
-        self.ends: list[End] = []
+        self.ends: list[ScriptedPeer] = []
 
-    def keep(self, sock: socket.socket) -> End:
-        end = End(self.loop, sock)
+    def keep(self, sock: socket.socket) -> ScriptedPeer:
+        end = ScriptedPeer(self.loop, sock)
         self.ends.append(end)
         return end
 
-    def client(self, data: bytes = b"") -> End:
+    def client(self, data: bytes = b"") -> ScriptedPeer:
         end = self.keep(socket.create_connection(("127.0.0.1", self.port)))
         if data:
             end.send(data)
         return end
 
-    async def server(self, number: int = 0) -> End:
+    async def server(self, number: int = 0) -> ScriptedPeer:
         """The next connection that the node makes to this server."""
         while True:
             try:
--- a/tests/service/test_hosted.py
+++ b/tests/service/test_hosted.py
@@ -139,7 +139,8 @@
             await one.until(lambda: not one.hosted.node.requests)
             one.hosted.end()
             await one.until(
-                lambda: not one.hosted.node.clients and not one.hosted.node.upstream.count
+                lambda: not one.hosted.node.clients
+                and not one.hosted.node.upstream.descriptor_count
             )
             one.task.cancel()
             for task in list(one.server.tasks):
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -15,7 +15,7 @@
 
 from flinthatch import Settings
 from windrelay.server import ClientConnection
-from windrelay.upstream import HELD_BODY
+from windrelay.upstream import MAX_BUFFERED_BODY_BYTES
 
 from .fakes import MS, PURE, SECOND, UNSAFE, build
 from .harness import (
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("form", ["length", "chunks", "end"])
-@pytest.mark.parametrize("size", [0, 10, HELD_BODY, HELD_BODY + 1, BIG])
+@pytest.mark.parametrize("size", [0, 10, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, BIG])
 def test_an_answer_of_any_form_and_length_arrives_unchanged(
     tmp_path: Path, form: str, size: int
 ) -> None:
@@ -141,21 +141,21 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The client's buffer fills with the very end: whoever would have let it go on has gone."""
-    finish = ClientConnection.finish
+    finish = ClientConnection.end_stream
 
     def held(conn: ClientConnection) -> None:
         assert conn._source is not None
-        conn._source.hold()
+        conn._source.pause_reading()
         finish(conn)
 
-    monkeypatch.setattr(ClientConnection, "finish", held)
+    monkeypatch.setattr(ClientConnection, "end_stream", held)
     with listen() as backend, inside(tmp_path, roster(target("s-1", port_of(backend)))) as i:
 
         async def story() -> None:
             port = i.server.listen(i.config.listen)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             peer: Peer | None = None
-            for data in (body(HELD_BODY + 1), b"next"):
+            for data in (body(MAX_BUFFERED_BODY_BYTES + 1), b"next"):
                 writer.write(request("/credit/1", b"x"))
                 if peer is None:
                     peer = await asyncio.to_thread(accept, backend)
--- a/tests/test_leaving.py
+++ b/tests/test_client_disconnects.py
@@ -18,10 +18,10 @@
 from windrelay import upstream as windrelay_upstream
 from windrelay.upstream import BackendConnection
 
-from .crossing import Crossing, End, crossing, drive
 from .fakes import MS, build
 from .harness import SETTINGS, answer
 from .harness import request as any_request
+from .race_harness import Crossing, ScriptedPeer, crossing, drive
 
 CLASSES = SETTINGS["classes"]
 
@@ -41,7 +41,7 @@
     return w.node.open > before
 
 
-async def filled(w: Crossing) -> list[End]:
+async def filled(w: Crossing) -> list[ScriptedPeer]:
     """Requests that hold every place of the only server; what it has of them."""
     busy = []
     while not w.node.balancer.waiting:
@@ -72,7 +72,7 @@
             # Half closed it still reads, and gets its one answer at once.
             if how == "half_close":
                 assert await leaver.status() == 503
-                assert await leaver.ends() == b""
+                assert await leaver.read_to_end() == b""
             await w.until(lambda: not w.node.balancer.waiting)
             stays = w.client(request(rid="stays"))
             await w.until(lambda: w.node.balancer.waiting == 1)
@@ -195,11 +195,11 @@
             server.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
             server.send(bytes(100_000))
             while len(client.buffer) < 50_000:
-                assert await client.more()
+                assert await client.receive()
             client.half_close()
             await w.until(lambda: any(r.half_closed for r in w.node.balancer.requests.values()))
             server.send(bytes(100_000))
-            assert (await client.ends()).count(b"\0") == size
+            assert (await client.read_to_end()).count(b"\0") == size
 
         drive(w, story())
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -68,7 +68,7 @@
     async def drive() -> None:
         one.node.upstream.send(a)
         await one.until(lambda: a.closed)
-        await one.until(lambda: not one.node.upstream.count)
+        await one.until(lambda: not one.node.upstream.descriptor_count)
         await one.turns()
 
     one.run(drive())
@@ -136,14 +136,14 @@
             one.node.upstream.send(a)
             await one.turns(turns)
             one.node.give_up(a, Outcome.TIMEOUT)
-            await one.until(lambda: not one.node.upstream.count)
+            await one.until(lambda: not one.node.upstream.descriptor_count)
             await one.turns()
 
         one.run(drive())
         strangers = Strangers()
         gc.collect()
         strangers.check()
-        assert one.node.upstream.count == 0 and not one.node.crashes
+        assert one.node.upstream.descriptor_count == 0 and not one.node.crashes
 
 
 def test_a_loop_that_was_late_does_not_take_a_finished_dial_for_a_failed_one(
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -16,7 +16,7 @@
 from windrelay.guard import closes_connection_on_error
 from windrelay.node import Attempt, Node
 from windrelay.server import ClientConnection
-from windrelay.upstream import BackendConnection, Upstream
+from windrelay.upstream import BackendConnection, HttpConnectionPool
 
 from .harness import answer, request, roster, target
 from .inside import Inside, inside
@@ -83,17 +83,17 @@
     (ClientConnection, "on_header", (b"500",)),
     (ClientConnection, "on_message_complete", (b"500",)),
     (ClientConnection, "_start_request", (b"500",)),
-    (ClientConnection, "answer", (b"500", b"502", b"")),
+    (ClientConnection, "send_response", (b"500", b"502", b"")),
     (Node, "request", (b"500",)),
     (Node, "carry", (b"502",)),
     (Node, "conclude", (b"200", b"502", b"503", b"504", b"")),
-    (Upstream, "send", (b"502", b"503")),
+    (HttpConnectionPool, "send", (b"502", b"503")),
     (BackendConnection, "dial", (b"502", b"503")),
     (httptools, "HttpResponseParser", (b"200", b"502", b"503")),  # in connection_made
     (BackendConnection, "_write_request", (b"200", b"502", b"503")),
     (BackendConnection, "on_headers_complete", (b"502",)),
-    (BackendConnection, "_answered", (b"502",)),
-    (Upstream, "put", (b"200",)),
+    (BackendConnection, "_finish_response", (b"502",)),
+    (HttpConnectionPool, "release", (b"200",)),
     (Balancer, "on_request", (b"502",)),
     (Balancer, "on_outcome", (b"200",)),
     (Balancer, "send", (b"502",)),
@@ -120,7 +120,7 @@
     async def drive(one: Inside, port: int) -> None:
         assert await ask(port, request("/credit/1", b"x")) == b"200"
         if fresh:
-            assert one.node.upstream.drop_oldest()
+            assert one.node.upstream.close_oldest_idle()
         with monkeypatch.context() as patch:
             patch.setattr(owner, name, failing_once(getattr(owner, name)))
             status = await ask(port, request("/credit/1", b"x", timeout=300))
--- a/tests/test_crossings.py
+++ b/tests/test_races.py
@@ -17,10 +17,10 @@
 from flinthatch import Outcome, State, Update
 from flinthatch import balancer as decisions
 
-from .crossing import Crossing, End, crossing, drive
 from .fakes import MS
 from .harness import SETTINGS, answer
 from .harness import request as any_request
+from .race_harness import Crossing, ScriptedPeer, crossing, drive
 
 LONG = 400 * 1_000_000_000  # nothing ends by its own time: the time-outs are events, too
 CLASSES = [c | {"target": LONG, "deadline": LONG} for c in SETTINGS["classes"]]
@@ -37,7 +37,7 @@
 class Arrived:
     """A request whose last byte has come to a server, and what became of it there."""
 
-    def __init__(self, rid: str, end: End) -> None:
+    def __init__(self, rid: str, end: ScriptedPeer) -> None:
         self.rid = rid
         self.end = end
         self.over = False
@@ -45,7 +45,7 @@
 
 
 class Asker:
-    def __init__(self, rid: str, path: str, end: End) -> None:
+    def __init__(self, rid: str, path: str, end: ScriptedPeer) -> None:
         self.rid = rid
         self.path = path
         self.end = end
@@ -63,7 +63,7 @@
         self.arrived: list[Arrived] = []
         self.askers: list[Asker] = []
         self.tasks: list[asyncio.Task[None]] = []
-        self.links: list[End] = []
+        self.links: list[ScriptedPeer] = []
         self.known: set[str] = set()  # requests that the node has read
         self.gone_at: dict[str, int] = {}  # arrivals so far as its client was known to be gone
 
@@ -78,7 +78,7 @@
             self.links.append(end)
             self.tasks.append(self.w.loop.create_task(self.read(end)))
 
-    async def read(self, end: End) -> None:
+    async def read(self, end: ScriptedPeer) -> None:
         while True:
             try:
                 _, headers, _ = await end.message()
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -202,13 +202,13 @@
 def test_servers_that_close_idle_connections_sooner_are_believed_at_once(tmp_path: Path) -> None:
     """The limit of the start stood for good: requests were written into closes."""
     with inside(tmp_path, roster()) as one:
-        most = one.node.upstream.idle_limit.most
+        most = one.node.upstream.idle_timeout.max_timeout_ns
         one.node.reload(replace(one.config, idle_close=4 * 1_000_000_000))
-        assert one.node.upstream.idle_limit.most == 2 * 1_000_000_000 < most
-        learnt = one.node.upstream.idle_limit
-        learnt.limit = 5
+        assert one.node.upstream.idle_timeout.max_timeout_ns == 2 * 1_000_000_000 < most
+        learnt = one.node.upstream.idle_timeout
+        learnt.timeout_ns = 5
         one.node.reload(replace(one.config, idle_close=4 * 1_000_000_000))
-        assert one.node.upstream.idle_limit is learnt and learnt.limit == 5
+        assert one.node.upstream.idle_timeout is learnt and learnt.timeout_ns == 5
 
 
 def test_areas_of_other_names_turn_the_whole_file_down(tmp_path: Path) -> None:
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -24,8 +24,8 @@
 from windrelay.succession import CLAIM_S, claim
 from windrelay.upstream import BackendConnection
 
-from .crossing import End
 from .harness import LIMIT, SETTINGS, answer, config, request, roster, target
+from .race_harness import ScriptedPeer
 
 BALANCE, CREDIT = SETTINGS["classes"]
 
@@ -41,7 +41,7 @@
         self.logged: list[str] = []
         self.run.node.log = self.logged.append  # type: ignore[method-assign, assignment]
         self.backend = backend
-        self.ends: list[End] = []
+        self.ends: list[ScriptedPeer] = []
 
     def begin(self) -> None:
         self.run.node.start()
@@ -58,16 +58,16 @@
         for _ in range(count):
             await asyncio.sleep(0)
 
-    def client(self, data: bytes = b"") -> End:
-        end = End(self.loop, socket.create_connection(("127.0.0.1", self.port)))
+    def client(self, data: bytes = b"") -> ScriptedPeer:
+        end = ScriptedPeer(self.loop, socket.create_connection(("127.0.0.1", self.port)))
         self.ends.append(end)
         if data:
             end.send(data)
         return end
 
-    async def server(self) -> End:
+    async def server(self) -> ScriptedPeer:
         sock, _ = await self.loop.sock_accept(self.backend)
-        self.ends.append(end := End(self.loop, sock))
+        self.ends.append(end := ScriptedPeer(self.loop, sock))
         return end
 
     def late(self) -> None:
@@ -132,7 +132,7 @@
             first, headers, _ = await client.message()
             assert first.split(" ")[1] == "502" and headers["connection"] == "close"
             server.send(answer(b"late"))
-            assert await client.ends() == b""
+            assert await client.read_to_end() == b""
 
         s.drive(story())
 
@@ -151,7 +151,7 @@
             s.late()
             client.send(whole[40:])
             assert await client.status() == 503
-            assert not s.run.node.upstream.count and not s.run.node.requests
+            assert not s.run.node.upstream.descriptor_count and not s.run.node.requests
             assert not s.run.node.budget.held
 
         s.drive(story())
@@ -176,7 +176,7 @@
             inner(*made[0])
             await s.turns()
             made[0][0].transport.abort()
-            assert await server.ends() == b""
+            assert await server.read_to_end() == b""
 
         s.drive(story())
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -10,7 +10,14 @@
 
 import pytest
 
-from windrelay.upstream import LEARN_PAUSE_NS, LEAST_LIMIT_NS, MS, SETTLED_NS, IdleLimit, Upstream
+from windrelay.upstream import (
+    LEARN_PAUSE_NS,
+    LEAST_LIMIT_NS,
+    MS,
+    SETTLED_NS,
+    AdaptiveIdleTimeout,
+    HttpConnectionPool,
+)
 
 from .harness import LIMIT, accept, answer, listen, node, request, roster, target
 
@@ -18,27 +25,27 @@
 
 
 def test_one_backend_alone_teaches_nothing() -> None:
-    limit = IdleLimit(58 * SECOND)
+    limit = AdaptiveIdleTimeout(58 * SECOND)
     limit.broke(SECOND, 1, 200 * MS)
     limit.broke(SECOND, 1, 100 * MS)
     limit.broke(20 * SECOND, 2, 100 * MS)  # the other's breaks are long past
-    assert limit.limit == 58 * SECOND
+    assert limit.timeout_ns == 58 * SECOND
 
 
 def test_breaks_of_any_age_teach_nothing() -> None:
     """A network that breaks connections at random is no reason to dial for each request."""
-    limit = IdleLimit(58 * SECOND)
+    limit = AdaptiveIdleTimeout(58 * SECOND)
     for i in range(60):
         limit.held(SECOND, 10 * MS * i)
         if i % 3 == 0:
             limit.broke(SECOND, i, 10 * MS * (i // 2))
-    assert limit.limit == 58 * SECOND
+    assert limit.timeout_ns == 58 * SECOND
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_breaks_by_chance_teach_nothing(seed: int) -> None:
     """One use in twenty breaks, whatever its rest: the two longest of the last do at times."""
-    limit = IdleLimit(58 * SECOND)
+    limit = AdaptiveIdleTimeout(58 * SECOND)
     rng = Random(seed)
     for i in range(20_000):
         rest = int(rng.expovariate(1 / 20.0) * MS) + 1
@@ -46,44 +53,44 @@
             limit.broke(i * 4 * MS, rng.randrange(10), rest)
         else:
             limit.held(i * 4 * MS, rest)
-    assert limit.limit == 58 * SECOND
+    assert limit.timeout_ns == 58 * SECOND
 
 
 def test_a_limit_is_learnt_through_breaks_by_chance() -> None:
     """Whatever rests for 100 ms breaks, and one use in twenty of the others."""
-    limit = IdleLimit(58 * SECOND)
+    limit = AdaptiveIdleTimeout(58 * SECOND)
     rng = Random(1)
     for i in range(1000):
         rest = int(rng.expovariate(1 / 80.0) * MS) + 1
-        if rest > limit.limit:
+        if rest > limit.timeout_ns:
             continue  # is not used
         if rest > 100 * MS or rng.random() < 0.05:
             limit.broke(i * 20 * MS, rng.randrange(10), rest)
         else:
             limit.held(i * 20 * MS, rest)
-    assert 60 * MS < limit.limit < 150 * MS
+    assert 60 * MS < limit.timeout_ns < 150 * MS
 
 
 def test_no_limit_is_learnt_below_what_a_rest_can_mean() -> None:
     """Closed right behind an answer: that is no matter of how long it rested."""
-    limit = IdleLimit(58 * SECOND)
+    limit = AdaptiveIdleTimeout(58 * SECOND)
     for i in range(40):
         limit.broke(i * MS, i % 5, 2 * MS)
-    assert limit.limit == LEAST_LIMIT_NS
+    assert limit.timeout_ns == LEAST_LIMIT_NS
 
 
 def test_two_backends_teach_a_limit_that_is_forgotten_slowly() -> None:
-    limit = IdleLimit(58 * SECOND)
+    limit = AdaptiveIdleTimeout(58 * SECOND)
     limit.broke(SECOND, 1, 200 * MS)
     limit.broke(SECOND, 2, 100 * MS)
-    assert limit.limit == 70 * MS
+    assert limit.timeout_ns == 70 * MS
     limit.sweep(SECOND + LEARN_PAUSE_NS - 1)
-    assert limit.limit == 70 * MS
+    assert limit.timeout_ns == 70 * MS
     now = SECOND + LEARN_PAUSE_NS
     for _ in range(30):
         limit.sweep(now)
         now += 60 * SECOND
-    assert limit.limit == 58 * SECOND
+    assert limit.timeout_ns == 58 * SECOND
 
 
 def test_idle_connections_that_break_under_a_request_are_no_longer_used(tmp_path: Path) -> None:
@@ -135,7 +142,7 @@
 
 def test_a_connection_fresh_from_its_answer_is_spared_where_another_has_rested() -> None:
     """Its backend may be closing it: the end comes just behind the answer."""
-    pool: Any = Upstream.__new__(Upstream)
+    pool: Any = HttpConnectionPool.__new__(HttpConnectionPool)
     old, rested, fresh = Idle(1), Idle(SECOND - SETTLED_NS), Idle(SECOND - 1)
     pool.idle = {7: [old, rested, fresh]}
     pool.by_age = {old: None, rested: None, fresh: None}
--- a/windrelay/discovery.py
+++ b/windrelay/discovery.py
@@ -319,7 +319,7 @@
         self.log = log
         self.roster = Roster(config)
 
-    def known(self, raw: Any) -> list[Listing]:
+    def load_known_list(self, raw: Any) -> list[Listing]:
         """The list from the configuration."""
         update, rows, endpoints, bad = self.roster.read(raw)
         if bad:
@@ -347,7 +347,7 @@
     def fetch(self) -> None:
         self._call("/registry/instances", FULL_LIST_TIMEOUT_S, self._fetched)
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Go on at another address, at once and from a whole list.
 
         Versions of one service mean nothing at another, so the first answer is
--- a/windrelay/http_node.py
+++ b/windrelay/http_node.py
@@ -7,21 +7,21 @@
 from windrelay.config import Config
 from windrelay.discovery import Discovery
 from windrelay.node import Node
-from windrelay.upstream import Upstream
+from windrelay.upstream import HttpConnectionPool
 
 
 class HttpNode(Node):
     """A node whose callers and servers speak HTTP/1.1."""
 
-    upstream: Upstream
+    upstream: HttpConnectionPool
     discovery: Discovery
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config, loop)
         self.discovery = Discovery(config, self.members_told, self.log)
-        self.upstream = Upstream(self)
+        self.upstream = HttpConnectionPool(self)
 
     def reload(self, config: Config) -> dict[str, int]:
         numbers = super().reload(config)
-        self.upstream.rest_at_most(config.idle_close)
+        self.upstream.set_backend_idle_timeout(config.idle_close)
         return numbers
--- a/windrelay/ports.py
+++ b/windrelay/interfaces.py
@@ -20,60 +20,60 @@
     """Whoever asked. Exactly one of these is called for each request, and once; or none, where
     the caller has told `Node.client_gone` before."""
 
-    def answer(self, *answer: Any) -> None:
+    def send_response(self, *answer: Any) -> None:
         """Served: what the link for the request's protocol got of a server."""
 
-    def refused(self, retry_after: int) -> None:
+    def refuse(self, retry_after: int) -> None:
         """It never ran; it may come again after so many nanoseconds, 0 where nobody says when."""
 
-    def failed(self, late: bool) -> None:
+    def fail(self, late: bool) -> None:
         """It may have run, or nobody could be asked; `late` where its time is over."""
 
 
-class Streamed(Caller, Protocol):
+class StreamingCaller(Caller, Protocol):
     """A caller that takes an answer as it comes: `begin`, `more` as often as it likes, and one
     of `finish` and `cut`. From `begin` on nothing else of Caller is called."""
 
-    def begin(self, content_type: bytes, length: int, source: Source) -> None:
+    def begin_stream(self, content_type: bytes, length: int, source: StreamSource) -> None:
         """Served, and this is the answer's head; `length` is -1 where nobody knows it yet."""
 
-    def more(self, data: bytes) -> None:
+    def send_data(self, data: bytes) -> None:
         """What comes next of its body."""
 
-    def finish(self) -> None:
+    def end_stream(self) -> None:
         """That was all of it."""
 
-    def cut(self) -> None:
+    def abort_stream(self) -> None:
         """No more of it comes, though it is not whole: the caller must be able to tell."""
 
 
-class Source(Protocol):
+class StreamSource(Protocol):
     """Where an answer comes from while it is passed on."""
 
-    def hold(self) -> None:
+    def pause_reading(self) -> None:
         """Read no more for now: the caller is slower."""
 
-    def go_on(self) -> None:
+    def resume_reading(self) -> None:
         """Read again."""
 
-    def caller_left(self) -> None:
+    def cancel(self) -> None:
         """Nobody takes the rest any more."""
 
 
-class Asked(Protocol):
+class ParsedRequest(Protocol):
     """A request as its front has read it; the node keeps it until the last attempt has ended."""
 
-    cls: int
+    class_number: int
     tenant: int
     key: int
-    hint: int
-    retried: bool
-    timeout: int  # nanoseconds from its arrival
-    rid: bytes  # unlike that of any other request
-    reserved: int  # bytes of the node's budget that it holds
+    cost_hint: int
+    is_retry: bool
+    timeout_ns: int  # nanoseconds from its arrival
+    request_id: bytes  # unlike that of any other request
+    reserved_bytes: int  # bytes of the node's budget that it holds
 
 
-class Carrier(Protocol):
+class AttemptHandle(Protocol):
     """What carries one attempt at present."""
 
     def abandon(self) -> bool:
@@ -81,29 +81,29 @@
         was certainly never written."""
 
 
-class Link(Protocol):
+class ConnectionPool(Protocol):
     """Connections to servers, for one protocol. It concludes each attempt once."""
 
-    count: int  # descriptors, dials included
+    descriptor_count: int  # descriptors, dials included
 
     def send(self, attempt: Attempt) -> None:
         """Carry it; `attempt.connection` is what does, unless it was concluded at once."""
 
-    def withdraw(self, backend: int) -> None:
+    def drain_backend(self, backend: int) -> None:
         """A server has moved, drains, has left or is banned: begin nothing more there, keep
         nothing at rest for it; what has not begun never ran."""
 
-    def drop_oldest(self) -> bool:
+    def close_oldest_idle(self) -> bool:
         """Give a descriptor back; False where none can be missed."""
 
     def sweep(self, now: int) -> None:
         """Now and then: give up what has rested for too long."""
 
 
-class Members(Protocol):
+class MemberSource(Protocol):
     """A source of servers; it tells `Node.members_told` of each update."""
 
-    def known(self, raw: Any) -> list[Listing]:
+    def load_known_list(self, raw: Any) -> list[Listing]:
         """The list that a configuration holds; ValueError where it can't be used."""
 
     def watch(self) -> None:
@@ -112,7 +112,7 @@
     def fetch(self) -> None:
         """Ask for the whole list."""
 
-    def move(self, address: Any) -> None:
+    def change_address(self, address: Any) -> None:
         """Go on at another address."""
 
     def close(self) -> None:
--- a/windrelay/node.py
+++ b/windrelay/node.py
@@ -21,7 +21,7 @@
 from flinthatch import Balancer, Listing, Outcome, Settings, Update
 from flinthatch.reconfigure import reconfigure
 from windrelay.config import Config
-from windrelay.ports import Asked, Caller, Carrier, Link, Members
+from windrelay.interfaces import AttemptHandle, Caller, ConnectionPool, MemberSource, ParsedRequest
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -87,12 +87,12 @@
         "name", "reserved",
     )  # fmt: skip
 
-    def __init__(self, rid: int, client: Caller, asked: Asked, now: int, left: int) -> None:
+    def __init__(self, rid: int, client: Caller, asked: ParsedRequest, now: int, left: int) -> None:
         self.id = rid
         self.client: Caller | None = client
         self.asked: Any = asked  # what only its link reads; None once nothing is out any more
-        self.reserved = asked.reserved
-        self.name = asked.rid
+        self.reserved = asked.reserved_bytes
+        self.name = asked.request_id
         self.arrived = now
         self.deadline = now + left
         self.attempts: list[Attempt] = []
@@ -118,7 +118,7 @@
         self.limit = 0
         self.closed = False
         self.begun = 0
-        self.connection: Carrier | None = None
+        self.connection: AttemptHandle | None = None
 
 
 def is_over(item: int | Attempt | Request) -> bool:
@@ -131,8 +131,8 @@
 class Node:
     """Implements flinthatch.Actions; whoever makes one gives it its link and its members."""
 
-    upstream: Link
-    discovery: Members
+    upstream: ConnectionPool
+    discovery: MemberSource
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         self.config = config
@@ -180,7 +180,7 @@
             self.leave()
 
     def known(self) -> list[Listing]:
-        return self.discovery.known(self.config.known)
+        return self.discovery.load_known_list(self.config.known)
 
     def reload(self, config: Config) -> dict[str, int]:
         """Go on under a new configuration; returns the numbers of its classes by name.
@@ -193,7 +193,7 @@
         numbers = self.retune(config.settings)
         self.config = config
         self.share(self.elsewhere)
-        self.discovery.move(config.discovery)
+        self.discovery.change_address(config.discovery)
         return numbers
 
     def retune(self, settings: Settings) -> dict[str, int]:
@@ -225,14 +225,14 @@
         if timers and timers[0][0] < self.armed:
             self.arm(timers[0][0])
 
-    def request(self, client: Caller, incoming: Asked, waited: int) -> Request | None:
+    def request(self, client: Caller, incoming: ParsedRequest, waited: int) -> Request | None:
         """Take a client's request; None where as many are open as the settings allow."""
         if self.open >= self.config.max_open:
             return None
         now = self.enter()
         self.last_id += 1
         rid = self.last_id
-        left = incoming.timeout - waited
+        left = incoming.timeout_ns - waited
         r = Request(rid, client, incoming, now, left)
         self.requests[rid] = r
         self.names.add(r.name)
@@ -242,12 +242,12 @@
             self.balancer.on_request(
                 now,
                 rid,
-                incoming.cls,
+                incoming.class_number,
                 left,
                 incoming.tenant,
                 incoming.key,
-                incoming.hint,
-                incoming.retried,
+                incoming.cost_hint,
+                incoming.is_retry,
                 waited,
             )
         except Exception:
@@ -275,7 +275,7 @@
         self.enter()
         try:
             self.balancer.ban(self.now, backend)
-            self.upstream.withdraw(backend)
+            self.upstream.drain_backend(backend)
         except Exception:
             self.broken()
         finally:
@@ -329,7 +329,7 @@
             for backend in stale:
                 # Dials too: with a longer dial time-out than the grace for drains, what
                 # they carry would begin after it.
-                self.upstream.withdraw(backend)
+                self.upstream.drain_backend(backend)
             self.balancer.on_members(now, update, rows)
         except Exception:
             self.broken()
@@ -411,9 +411,9 @@
         self.end(r)
         if client is not None:
             if r.begun:
-                client.cut()  # type: ignore[attr-defined]  # only a Streamed one has begun
+                client.abort_stream()  # type: ignore[attr-defined]  # only a StreamingCaller began
             else:
-                client.failed(late)
+                client.fail(late)
 
     def fail_all(self) -> None:
         """At the very end of a stop: whatever is still held gets its answer."""
@@ -449,7 +449,7 @@
         client = r.client
         self.end(r)
         if client is not None:
-            client.refused(retry_after)
+            client.refuse(retry_after)
 
     def fail(self, request: int) -> None:
         r = self.requests.get(request)
@@ -611,15 +611,15 @@
 
     def room_for_client(self) -> bool:
         """Whether one more client fits, leaving backends their part."""
-        used = self.clients + self.upstream.count
-        most = self.sockets - max(self.sockets // UPSTREAM_PART - self.upstream.count, 0)
+        used = self.clients + self.upstream.descriptor_count
+        most = self.sockets - max(self.sockets // UPSTREAM_PART - self.upstream.descriptor_count, 0)
         return used < self.sockets and self.clients < most
 
     def room_for_upstream(self) -> bool:
         """Whether one more connection to a backend fits, giving up an idle one for it."""
-        used = self.clients + self.upstream.count
+        used = self.clients + self.upstream.descriptor_count
         if used < self.sockets:
             return True
         # What is given up is closed with the next turn of the loop: until then
         # both stand, within what RESERVED leaves.
-        return used < self.sockets + OVERLAP and (self.upstream.drop_oldest() or self.evict())
+        return used < self.sockets + OVERLAP and (self.upstream.close_oldest_idle() or self.evict())
--- a/windrelay/operate.py
+++ b/windrelay/operate.py
@@ -115,7 +115,7 @@
                 return node.discovery.roster.adopt(state.get("list"))
             except ValueError as err:
                 node.log(f"the list of the running process is not used: {err}")
-                return node.discovery.known(node.config.known)
+                return node.discovery.load_known_list(node.config.known)
 
         def recall(balancer: Balancer, now: int) -> None:
             clock = node.discovery.roster.clock
@@ -172,7 +172,7 @@
 
     def _held(self) -> int:
         node = self.node
-        return node.clients + node.upstream.count + RESERVED + RESERVED_MGMT + SLACK
+        return node.clients + node.upstream.descriptor_count + RESERVED + RESERVED_MGMT + SLACK
 
     def _shares(self, held: object) -> None:
         if isinstance(held, int):
@@ -182,7 +182,7 @@
         """Hold no more than now, and let the successor have the rest."""
         node = self.node
         node.share(1)  # that there is another counts for the bytes; descriptors are as follows
-        node.sockets = node.clients + node.upstream.count + SLACK
+        node.sockets = node.clients + node.upstream.descriptor_count + SLACK
         if self.line is not None:
             self.line.tell({"held": self._held()})
 
--- a/windrelay/server.py
+++ b/windrelay/server.py
@@ -22,8 +22,8 @@
 
 if TYPE_CHECKING:
     from windrelay.config import Address
+    from windrelay.interfaces import StreamSource
     from windrelay.node import Node, Request
-    from windrelay.ports import Source
 
 MS = 1_000_000
 MAX_HEAD = 16 << 10
@@ -121,9 +121,9 @@
     """A request as it is read; `head` is what each attempt starts with."""
 
     __slots__ = (
-        "body", "body_size", "chunked", "classes_version", "cls", "head", "headers", "hint",
-        "is_probe", "keep_alive", "key", "length", "lines", "method", "old", "received",
-        "reserved", "retried", "rid", "tenant", "timeout", "url",
+        "body", "body_size", "chunked", "class_number", "classes_version", "cost_hint", "head",
+        "headers", "is_probe", "is_retry", "keep_alive", "key", "length", "lines", "method",
+        "old", "received", "request_id", "reserved_bytes", "tenant", "timeout_ns", "url",
     )  # fmt: skip
 
     def __init__(self) -> None:
@@ -133,20 +133,20 @@
         self.headers: dict[bytes, bytes] = {}
         self.body: list[bytes] = []
         self.body_size = 0
-        self.reserved = 0  # bytes of the node's budget
-        self.rid = b""
+        self.reserved_bytes = 0  # bytes of the node's budget
+        self.request_id = b""
         self.length = 0
         self.chunked = False
         self.head = b""
         self.keep_alive = True
         self.old = False  # of HTTP/1.0: its answer knows no chunks
         self.is_probe = False
-        self.cls = 0
+        self.class_number = 0
         self.tenant = 0
         self.key = 0
-        self.hint = 0
-        self.retried = False
-        self.timeout = 0
+        self.cost_hint = 0
+        self.is_retry = False
+        self.timeout_ns = 0
         self.received = 0
         self.classes_version = 0  # of the classes that its head was held against
 
@@ -179,7 +179,7 @@
         self._since = server.sweeps  # when it connected, began to ask, to rest or to linger
         self._write_since = 0
         self._progress = (0, 0)
-        self._source: Source | None = None  # of the answer that is passed on
+        self._source: StreamSource | None = None  # of the answer that is passed on
         self._chunked = False  # that answer goes in chunks
         self._unframed = False  # or till the connection's end
         self._closing = False  # and the connection ends behind it
@@ -298,13 +298,13 @@
         A crowd of bodies that fit one by one must not take the node's memory. None of
         them was sent on, so they are refused, and small ones always pass.
         """
-        more = size - incoming.reserved
+        more = size - incoming.reserved_bytes
         if more <= 0:
             return
         if size > SMALL_BODY:
             self._fits(more)
         self._server.node.budget.take(more)
-        incoming.reserved = size
+        incoming.reserved_bytes = size
 
     def _fits(self, more: int) -> None:
         if not self._server.node.budget.has_room(more):
@@ -351,7 +351,7 @@
         try:
             server.read_head(incoming)
         except BadRequest as err:
-            server.node.budget.give(incoming.reserved)
+            server.node.budget.give(incoming.reserved_bytes)
             self._reject(err.status, err)
             return False
         return True
@@ -369,11 +369,11 @@
             )
             return
         if self._server.refusing_requests:
-            node.budget.give(incoming.reserved)
+            node.budget.give(incoming.reserved_bytes)
             self.send_empty_response(503, 0)
             return
-        if node.repeated(incoming.rid):
-            node.budget.give(incoming.reserved)
+        if node.repeated(incoming.request_id):
+            node.budget.give(incoming.reserved_bytes)
             self._reject(400, "the id of another request")
             return
         incoming.headers = READ_ALREADY  # the rest is kept as long as the request is
@@ -381,7 +381,7 @@
         # Set first: the answer may come before the call returns.
         request = node.request(self, incoming, waited)
         if request is None:
-            node.budget.give(incoming.reserved)
+            node.budget.give(incoming.reserved_bytes)
             self.send_empty_response(503, 0)
         elif not request.ended:
             self._request = request
@@ -392,16 +392,16 @@
 
     # ---- answering ----------------------------------------------------
 
-    def answer(self, content_type: bytes, chunks: list[bytes], size: int) -> None:
+    def send_response(self, content_type: bytes, chunks: list[bytes], size: int) -> None:
         """The whole answer of a backend."""
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n" % size
         if content_type:
             head += b"Content-Type: %s\r\n" % content_type
         self._write_head(head, chunks)
 
-    # ---- passing an answer on (ports.Streamed) --------------------------
+    # ---- passing an answer on (interfaces.StreamingCaller) --------------------------
 
-    def begin(self, content_type: bytes, length: int, source: Source) -> None:
+    def begin_stream(self, content_type: bytes, length: int, source: StreamSource) -> None:
         transport = self._transport
         if transport is None or self._lingering or transport.is_closing():
             return  # gone; connection_lost tells the source
@@ -418,7 +418,7 @@
             head += b"Content-Type: %s\r\n" % content_type
         transport.write(head + (b"Connection: close\r\n\r\n" if self._closing else b"\r\n"))
 
-    def more(self, data: bytes) -> None:
+    def send_data(self, data: bytes) -> None:
         transport = self._transport
         if self._source is None or transport is None or transport.is_closing():
             return
@@ -427,7 +427,7 @@
         else:
             transport.write(data)
 
-    def finish(self) -> None:
+    def end_stream(self) -> None:
         transport = self._transport
         if self._source is None or transport is None or transport.is_closing():
             return
@@ -438,7 +438,7 @@
         # Nothing more comes of a client that has ended its sending meanwhile.
         self._answered(self._closing or self._eof)
 
-    def cut(self) -> None:
+    def abort_stream(self) -> None:
         source, self._source = self._source, None
         self._request = None
         if self._transport is not None:
@@ -450,11 +450,11 @@
 
     def pause_writing(self) -> None:
         if self._source is not None:
-            self._source.hold()
+            self._source.pause_reading()
 
     def resume_writing(self) -> None:
         if self._source is not None:
-            self._source.go_on()
+            self._source.resume_reading()
 
     def send_empty_response(self, status: int, retry_after: int) -> None:
         head = EMPTY_RESPONSE_HEADS[status]
@@ -462,10 +462,10 @@
             head += b"Retry-After: %.3f\r\n" % (retry_after / 1e9)
         self._write_head(head)
 
-    def refused(self, retry_after: int) -> None:
+    def refuse(self, retry_after: int) -> None:
         self.send_empty_response(503, retry_after)
 
-    def failed(self, late: bool) -> None:
+    def fail(self, late: bool) -> None:
         self.send_empty_response(504 if late else 502, 0)
 
     def _closes(self) -> bool:
@@ -544,7 +544,7 @@
     def _drop_incoming(self) -> None:
         for incoming in (self._incoming, self._whole):
             if incoming is not None:
-                self._server.node.budget.give(incoming.reserved)
+                self._server.node.budget.give(incoming.reserved_bytes)
         self._incoming = self._whole = None
 
     # ---- ends ---------------------------------------------------------
@@ -575,7 +575,7 @@
             if request is not None:
                 server.node.client_gone(request)
             if source is not None:
-                source.caller_left()
+                source.cancel()
         finally:
             server.node.clients -= 1
             server.node.freed()
@@ -784,7 +784,7 @@
 
     def make_room(self) -> None:
         if not self.evict():
-            self.node.upstream.drop_oldest()
+            self.node.upstream.close_oldest_idle()
 
     def _pause(self) -> None:
         if self._listener is not None and not self._accept_paused and not self.handed:
@@ -937,7 +937,7 @@
             raise BadRequest(400, "GET with a body")
         if fields.get(b"x-priority-class") != parts[1]:
             raise BadRequest(400, f"class {fields.get(b'x-priority-class', b'')[:40]!r}")
-        rid = incoming.rid = fields.get(b"x-request-id", b"")
+        rid = incoming.request_id = fields.get(b"x-request-id", b"")
         if not rid or len(rid) > MAX_ID or b"host" not in fields:
             raise BadRequest(400, "no id or no host")
         if self._tenants:
@@ -948,11 +948,11 @@
         timeout = fields.get(b"x-timeout-ms", b"")
         if not timeout.isdigit() or len(timeout) > 12 or not int(timeout):
             raise BadRequest(400, f"timeout {timeout[:20]!r}")
-        incoming.cls = cls
-        incoming.timeout = min(int(timeout) * MS, self._deadlines[cls])
+        incoming.class_number = cls
+        incoming.timeout_ns = min(int(timeout) * MS, self._deadlines[cls])
         if len(parts) > 2 and parts[-1]:
             incoming.key = crc32(parts[-1]) or 1
         cost = fields.get(b"x-cost", b"")
         if cost.isdigit() and len(cost) <= 12:
-            incoming.hint = int(cost) * 1000
-        incoming.retried = fields.get(b"x-retried") == b"1"
+            incoming.cost_hint = int(cost) * 1000
+        incoming.is_retry = fields.get(b"x-retried") == b"1"
--- a/windrelay/upstream.py
+++ b/windrelay/upstream.py
@@ -17,13 +17,13 @@
 from windrelay.config import Address
 from windrelay.glance import Glance, unread
 from windrelay.guard import closes_connection_on_error
-from windrelay.ports import Streamed
+from windrelay.interfaces import StreamingCaller
 
 if TYPE_CHECKING:
     from windrelay.http_node import HttpNode
     from windrelay.node import Attempt
 
-HELD_BODY = 64 << 10  # of an answer that is held until it is whole; more is passed on as it comes
+MAX_BUFFERED_BODY_BYTES = 64 << 10  # longer answers are passed on as they come
 MAX_BODY = 32 << 20  # of an answer: the platform's own bound
 MAX_HEAD = 16 << 10  # of an answer and of what comes ahead of it
 # An answer that has begun goes on, in small pieces at times: with one that says it is longer
@@ -37,7 +37,7 @@
 # Turns of the loop between a dial's time being up and its end. What the kernel has
 # finished by then is found by this turn's poll and told in the next, behind what was
 # due there already: a loop that was late must not take its own lateness for the server's.
-LAST_TURNS = 3
+DIAL_GRACE_TURNS = 3
 SETTLED_NS = 3_000_000  # after which an end that follows an answer is here
 IDLE_MARGIN_NS = 2_000_000_000  # closed so long before the backend would
 LEARN_BACKENDS = 2  # that broke off at first use, for a shorter limit
@@ -76,7 +76,7 @@
         "idle_since", "parser", "transport", "upstream", "written",
     )  # fmt: skip
 
-    def __init__(self, upstream: Upstream, backend: int, address: Address) -> None:
+    def __init__(self, upstream: HttpConnectionPool, backend: int, address: Address) -> None:
         self.upstream = upstream
         self.backend = backend
         self.address = address
@@ -97,7 +97,7 @@
         self.written = False
         self._paused = False
         self._unsent: deque[bytes] | None = None  # what the transport has not been given yet
-        self._passing: Streamed | None = None  # who takes the answer as it comes
+        self._passing: StreamingCaller | None = None  # who takes the answer as it comes
         self._slow = False  # whoever takes it can't take more at present
         self._last_got = 0
         self._interim = 0
@@ -127,10 +127,10 @@
         """Connect, for this attempt; the loop makes the descriptor and owns it (see glance)."""
         node = self.upstream.node
         self.attempt = attempt
-        self.upstream.count += 1
+        self.upstream.descriptor_count += 1
         self.upstream.dials.add(self)
         timeout = node.config.settings.connect_timeout / 1e9
-        self._dial_timer = node.loop.call_later(timeout, self._dial_expired, LAST_TURNS)
+        self._dial_timer = node.loop.call_later(timeout, self._dial_expired, DIAL_GRACE_TURNS)
         self._task = node.loop.create_task(self._connect())
         self._task.add_done_callback(self._dialled)
 
@@ -186,7 +186,7 @@
             return
         # Too late for this one; the connection has cost its handshake and serves another.
         self.attempt = None
-        self.upstream.put(self)
+        self.upstream.release(self)
         self.upstream.node.conclude(attempt, Outcome.NOT_SENT)
 
     # ---- the request --------------------------------------------------
@@ -274,7 +274,7 @@
             self._dirty = True
             self._spoilt = not self._complete
         if self._complete and not self._spoilt:
-            self._answered()
+            self._finish_response()
         elif self._spoilt or (not self._headers_done and self._got > MAX_HEAD):
             self._give_up_answer()
         elif self._rest_timer is None:
@@ -284,7 +284,7 @@
         # An answer without a length is whole where its connection ends, and only so.
         if self.attempt is not None and self._until_end and not self._spoilt:
             self._complete = True
-            self._answered()
+            self._finish_response()
         return False
 
     @closes_connection_on_error
@@ -370,12 +370,12 @@
         elif self._status != 200 or self._spoilt:
             return  # the text of an error is of no use to anybody: it is not kept
         elif self._passing is not None:
-            self._passing.more(body)
+            self._passing.send_data(body)
         else:
             self._chunks.append(body)
             self._taken += len(body)
             self.upstream.node.budget.take(len(body))
-            if self._size > HELD_BODY or self._length > HELD_BODY:
+            if self._size > MAX_BUFFERED_BODY_BYTES or self._length > MAX_BUFFERED_BODY_BYTES:
                 self._pass_on()
 
     def _pass_on(self) -> None:
@@ -389,12 +389,12 @@
         elif r.ended or r.client is None:
             self._spoilt = True  # nobody takes it
         else:
-            self._passing = cast(Streamed, r.client)
+            self._passing = cast(StreamingCaller, r.client)
             chunks, self._chunks = self._chunks, []
             self.upstream.node.begin_answer(attempt)
-            self._passing.begin(self._type, self._length, self)
+            self._passing.begin_stream(self._type, self._length, self)
             for chunk in chunks:
-                self._passing.more(chunk)
+                self._passing.send_data(chunk)
             self._give_back()
 
     def _pass_raw(self, data: bytes) -> None:
@@ -405,27 +405,27 @@
             self._dirty = True  # more than belongs to it
             data = data[:left]
         self._size += len(data)
-        self._passing.more(data)
+        self._passing.send_data(data)
         if self._size == self._length:
             self._complete = True
             self.parser = httptools.HttpResponseParser(self)  # the old one stands in the body
-            self._answered()
+            self._finish_response()
 
-    # ---- passing on (ports.Source) --------------------------------------
+    # ---- passing on (interfaces.StreamSource) --------------------------------------
 
-    def hold(self) -> None:
+    def pause_reading(self) -> None:
         self._slow = True
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
-    def go_on(self) -> None:
+    def resume_reading(self) -> None:
         if self._slow:
             self._slow = False
             self._last_got = time.monotonic_ns()
             if self.transport is not None and not self.transport.is_closing():
                 self.transport.resume_reading()
 
-    def caller_left(self) -> None:
+    def cancel(self) -> None:
         self._passing = None
         self._settle(Outcome.CANCELLED)
 
@@ -433,7 +433,7 @@
         """What was passed on is not whole; whoever takes it must see that."""
         passing, self._passing = self._passing, None
         if passing is not None:
-            passing.cut()
+            passing.abort_stream()
 
     def on_message_complete(self) -> None:
         if self._complete or self.parser is None:
@@ -465,7 +465,7 @@
         now = time.monotonic_ns()
         idle = attempt.sent - self.idle_since if self.idle_since else -MS
         if self.idle_since and not self._got:
-            self.upstream.idle_limit.broke(now, self.backend, idle)
+            self.upstream.idle_timeout.broke(now, self.backend, idle)
         self.upstream.node.log(
             f"backend {self.backend} broke off: {exc or 'end'}, idle before {idle // MS} ms, "
             f"{(now - attempt.sent) // MS} ms after the send, "
@@ -489,7 +489,7 @@
             return Outcome.FULL
         return Outcome.ERROR
 
-    def _answered(self) -> None:
+    def _finish_response(self) -> None:
         attempt, self.attempt = self.attempt, None
         transport = self.transport
         chunks, self._chunks = self._chunks, []
@@ -507,21 +507,21 @@
         if attempt is not None:
             if self.idle_since:
                 idle = attempt.sent - self.idle_since
-                self.upstream.idle_limit.held(node.now, idle)
+                self.upstream.idle_timeout.held(node.now, idle)
             r = attempt.request
             passing, self._passing = self._passing, None
             if passing is not None:
-                passing.finish()
+                passing.end_stream()
                 # Held for its last piece, nobody would let it go on any more: the next answer
                 # on this connection was never read.
-                self.go_on()
+                self.resume_reading()
             elif r is not None and outcome == Outcome.OK and not r.ended and r.client is not None:
-                r.client.answer(self._type, chunks, self._size)
+                r.client.send_response(self._type, chunks, self._size)
             elif r is None and outcome == Outcome.ERROR and self._status == 503:
                 outcome = Outcome.FULL
         self._give_back()
         if reusable:
-            self.upstream.put(self)
+            self.upstream.release(self)
         else:
             self._close()
         if attempt is not None:
@@ -598,7 +598,7 @@
         """The descriptor is closed, or will be before anything else can be opened."""
         if not self._let:
             self._let = True
-            self.upstream.count -= 1
+            self.upstream.descriptor_count -= 1
             self.upstream.node.freed()
 
     def usable(self) -> bool:
@@ -614,7 +614,7 @@
         return self._glance is None or unread(self._glance)
 
 
-class IdleLimit:
+class AdaptiveIdleTimeout:
     """How long a connection may have been idle and still be used.
 
     Backends, or what lies between, may forget idle connections long before the
@@ -628,11 +628,11 @@
     to 0 within 20 s, and each request dialled.
     """
 
-    __slots__ = ("_grow_at", "_pause", "_seen", "limit", "most")
+    __slots__ = ("_grow_at", "_pause", "_seen", "max_timeout_ns", "timeout_ns")
 
     def __init__(self, most: int) -> None:
-        self.most = most
-        self.limit = most
+        self.max_timeout_ns = most
+        self.timeout_ns = most
         # The last uses of rested connections: when, how long idle, the backend that broke.
         self._seen: deque[tuple[int, int, int | None]] = deque(maxlen=LEARN_USES)
         self._pause = LEARN_PAUSE_NS
@@ -659,39 +659,39 @@
                 sure = LEARN_BACKENDS + LEARN_AGAINST * (all_broken - broken)
                 if len(backends) >= LEARN_BACKENDS and broken >= sure and broken * 3 >= total * 2:
                     shortest = max(age * 7 // 10, LEAST_LIMIT_NS)
-        if 0 < shortest < self.limit:
-            self.limit = shortest
+        if 0 < shortest < self.timeout_ns:
+            self.timeout_ns = shortest
             self._grow_at = now + self._pause
             # Each time that more was tried and broke again, the next try waits longer.
             self._pause = min(2 * self._pause, LEARN_PAUSE_MAX_NS)
 
     def sweep(self, now: int) -> None:
-        if self.limit < self.most and now >= self._grow_at:
-            self.limit = min(self.limit * 3 // 2 + MS, self.most)
+        if self.timeout_ns < self.max_timeout_ns and now >= self._grow_at:
+            self.timeout_ns = min(self.timeout_ns * 3 // 2 + MS, self.max_timeout_ns)
             self._grow_at = now + self._pause
 
 
-class Upstream:
+class HttpConnectionPool:
     """Idle connections by backend, newest first, and by age for giving up."""
 
-    __slots__ = ("by_age", "count", "dials", "idle", "idle_limit", "node")
+    __slots__ = ("by_age", "descriptor_count", "dials", "idle", "idle_timeout", "node")
 
     def __init__(self, node: HttpNode) -> None:
         self.node = node
-        self.count = 0  # descriptors, dials included
+        self.descriptor_count = 0  # descriptors, dials included
         self.idle: dict[int, list[BackendConnection]] = {}
         self.by_age: dict[BackendConnection, None] = {}
         self.dials: set[BackendConnection] = set()  # not made yet
-        self.idle_limit = IdleLimit(0)
-        self.rest_at_most(node.config.idle_close)
+        self.idle_timeout = AdaptiveIdleTimeout(0)
+        self.set_backend_idle_timeout(node.config.idle_close)
 
-    def rest_at_most(self, closed_after: int) -> None:
+    def set_backend_idle_timeout(self, closed_after: int) -> None:
         """Backends close what has been idle for so many nanoseconds, by the settings."""
         # At their own limit a request would cross their close, and count as a reset: may
         # have run. What was learnt holds only below the limit it was learnt under.
         most = max(closed_after - IDLE_MARGIN_NS, closed_after // 2)
-        if most != self.idle_limit.most:
-            self.idle_limit = IdleLimit(most)
+        if most != self.idle_timeout.max_timeout_ns:
+            self.idle_timeout = AdaptiveIdleTimeout(most)
 
     def send(self, attempt: Attempt) -> None:
         backend = attempt.backend
@@ -700,7 +700,7 @@
             self.node.conclude(attempt, Outcome.CONNECT_FAILED)
             return
         while (conn := self.pop(backend, attempt.sent)) is not None:
-            if attempt.sent - conn.idle_since <= self.idle_limit.limit and conn.usable():
+            if attempt.sent - conn.idle_since <= self.idle_timeout.timeout_ns and conn.usable():
                 attempt.connection = conn
                 conn.begin(attempt)
                 return
@@ -734,7 +734,7 @@
         del self.by_age[conn]
         return conn
 
-    def put(self, conn: BackendConnection) -> None:
+    def release(self, conn: BackendConnection) -> None:
         """Keep a connection for the next attempt, unless its backend has moved, drains or left."""
         node = self.node
         if conn.backend in node.balancer.banned or not node.discovery.roster.ready(
@@ -754,7 +754,7 @@
             if not conns:
                 del self.idle[conn.backend]
 
-    def withdraw(self, backend: int) -> None:
+    def drain_backend(self, backend: int) -> None:
         """Begin nothing more there: dials under way end, and what they would carry never ran."""
         self.drop_idle(backend)
         for conn in [c for c in self.dials if c.backend == backend]:
@@ -764,7 +764,7 @@
         for conn in list(self.idle.get(backend, ())):
             conn.abandon()
 
-    def drop_oldest(self) -> bool:
+    def close_oldest_idle(self) -> bool:
         """Give up the connection that has been idle longest; False where none is."""
         conn = next(iter(self.by_age), None)
         if conn is None:
@@ -774,7 +774,7 @@
 
     def sweep(self, now: int) -> None:
         """Close what has been idle for too long to be used."""
-        self.idle_limit.sweep(now)
-        oldest = now - self.idle_limit.limit
+        self.idle_timeout.sweep(now)
+        oldest = now - self.idle_timeout.timeout_ns
         while (conn := next(iter(self.by_age), None)) is not None and conn.idle_since < oldest:
             conn.abandon()
