--- a/benchmarks/scale/discovery.py
+++ b/benchmarks/scale/discovery.py
@@ -18,7 +18,7 @@
 from flinthatch import Balancer
 from standins.platform import config, roster
 from windrelay.config import load
-from windrelay.discovery import MAX_ANSWER, Roster
+from windrelay.discovery import MAX_ANSWER_BYTES, BackendList
 
 DELTAS = 20
 CARRIED_BY = (
@@ -56,11 +56,11 @@
     }  # fmt: skip
 
 
-def take(held: Roster, body: bytes) -> list[Any]:
+def take(held: BackendList, body: bytes) -> list[Any]:
     """What the node does with an answer."""
     raw = json.loads(body)
-    update, rows, endpoints, _ = held.read(raw)
-    rows += held.taken_over(rows, endpoints)
+    update, rows, endpoints, _ = held.parse(raw)
+    rows += held.find_displaced(rows, endpoints)
     held.apply(raw["rev"], update, rows, endpoints)
     return rows
 
@@ -72,22 +72,22 @@
     with tempfile.TemporaryDirectory() as folder:
         settings = load(config(Path(folder), roster(), 1))
     began = time.process_time()
-    take(Roster(settings), body)
+    take(BackendList(settings), body)
     read_ms = 1000 * (time.process_time() - began)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    held = Roster(settings)
+    held = BackendList(settings)
     taken = take(held, body)
     held_bytes = tracemalloc.get_traced_memory()[0] - before
     before = tracemalloc.get_traced_memory()[0]
     decisions = Balancer(settings.settings, 1, Silent())
     decisions.start(0)
-    decisions.on_members(1, held.read(json.loads(body))[0], taken)
+    decisions.on_members(1, held.parse(json.loads(body))[0], taken)
     balancer_bytes = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     again = Balancer(settings.settings, 1, Silent())
     again.start(0)
-    update = held.read(json.loads(body))[0]
+    update = held.parse(json.loads(body))[0]
     began = time.process_time()
     again.on_members(1, update, taken)
     balancer_ms = 1000 * (time.process_time() - began)
@@ -97,15 +97,15 @@
     )  # fmt: skip
 
 
-def change_ms(held: Roster, decisions: Balancer) -> float:
+def change_ms(held: BackendList, decisions: Balancer) -> float:
     """One backend leaves and comes back, in turn."""
     began = time.process_time()
     for n in range(DELTAS):
         changed = row(0) | {"state": "leaving" if n % 2 == 0 else "active"}
         body = json.dumps({"rev": 3 + n, "all": False, "targets": [changed]}).encode()
         raw = json.loads(body)
-        update, rows, endpoints, _ = held.read(raw)
-        rows += held.taken_over(rows, endpoints)
+        update, rows, endpoints, _ = held.parse(raw)
+        rows += held.find_displaced(rows, endpoints)
         held.apply(raw["rev"], update, rows, endpoints)
         decisions.on_members(2 + n, update, rows)
     return 1000 * (time.process_time() - began) / DELTAS
@@ -150,16 +150,18 @@
         found,
         effects(whole, each_ms),
         (
-            Figure("largest answer that a node takes", MAX_ANSWER / (1 << 20), "MiB", "the code"),
+            Figure("largest answer that a node takes", MAX_ANSWER_BYTES / (1 << 20), "MiB",
+                   "the code"),
             Figure("backends that such an answer has room for",
-                   MAX_ANSWER * model.BACKENDS / whole, "", "the code's bound by measured bytes"),
+                   MAX_ANSWER_BYTES * model.BACKENDS / whole, "",
+                   "the code's bound by measured bytes"),
             Figure("list in hand and decisions' state of a node's own backends",
                    own * (named["held_bytes"].full + named["balancer_bytes"].full) / 1e6, "MB",
                    f"calculated: {model.BACKENDS_PER_NODE} backends"),
         ),
         gaps=(
             Gap("no page and no part of a list can be asked for: a node that wants some backends "
-                "takes all", max(1, int(model.NODES * MAX_ANSWER / whole)), CARRIED_BY),
+                "takes all", max(1, int(model.NODES * MAX_ANSWER_BYTES / whole)), CARRIED_BY),
         ),
     )  # fmt: skip
 
--- a/tansywood/iso8583/front.py
+++ b/tansywood/iso8583/front.py
@@ -115,16 +115,16 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.server.node.clients += 1
+        self.server.node.client_count += 1
         self.server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Its requests go on: a credit is not undone by a hang-up, and a repeat from another
         connection finds it."""
         self.transport = None
-        self.server.node.clients -= 1
+        self.server.node.client_count -= 1
         self.server.connections.discard(self)
-        self.server.node.freed()
+        self.server.node.on_descriptor_freed()
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -282,10 +282,10 @@
             caller.refuse(0)  # nobody waits for it any more
             return
         asked = Asked(self.codec, caller, number, left * MS, raw, at)
-        node.budget.take(size)
-        request = node.request(caller, asked, 0)
+        node.budget.reserve(size)
+        request = node.start_request(caller, asked, 0)
         if request is None:
-            node.budget.give(size)
+            node.budget.release(size)
             caller.refuse(0)
         else:
             caller.request = request
@@ -295,10 +295,10 @@
         this leaves it in doubt, and never unknown."""
         request = attempt.request
         assert request is not None
-        if not request.asked.lasts:
+        if not request.incoming.lasts:
             then(True)
             return
-        key = request.asked.request_id.decode()
+        key = request.incoming.request_id.decode()
         if not self.reversals.sent(key, f"{attempt.backend}:{stan}", self.now_ms()):
             then(False)
         elif self.records is None:
--- a/tansywood/iso8583/link.py
+++ b/tansywood/iso8583/link.py
@@ -161,7 +161,7 @@
     def send(self, one: Carried) -> None:
         r = one.attempt.request
         assert r is not None
-        message = self.machine.send(self.link.now_ms(), one, r.asked.message)
+        message = self.machine.send(self.link.now_ms(), one, r.incoming.message)
         if message is None:
             self.conclude(one, Outcome.NOT_SENT)
             return
@@ -170,13 +170,13 @@
     def go(self, one: Carried, message: Message, kept: bool) -> None:
         """What has to outlast us before it leaves is kept, or can't be."""
         r = one.attempt.request
-        if self.over or one.attempt.closed or r is None or one.attempt not in self.carried:
+        if self.over or one.attempt.concluded or r is None or one.attempt not in self.carried:
             return
         if not kept:
             self.machine.give_up(self.link.now_ms(), one)
             self.conclude(one, Outcome.NOT_SENT)
             return
-        asked = r.asked
+        asked = r.incoming
         try:
             if asked.at >= 0 and asked.codec is self.link.codec:
                 # Its bytes are those of the caller but for the trace number.
@@ -257,10 +257,10 @@
         r = one.attempt.request
         if outcome == Outcome.OK and r is not None and r.client is not None and not r.ended:
             codec = self.link.codec
-            if at >= 0 and r.asked.codec is codec:
+            if at >= 0 and r.incoming.codec is codec:
                 back = codec.with_stan(raw, at, str(event.message.fields[11]))
             else:
-                back = r.asked.codec.encode(event.message)
+                back = r.incoming.codec.encode(event.message)
             r.client.send_response(back, event.message.fields.get(39))
         self.conclude(one, outcome)
         self.link.rests(self)
@@ -361,7 +361,7 @@
         if attempt.request is None:
             self.node.conclude(attempt, Outcome.NOT_SENT)  # a probe: echoes do that here
             return
-        address = self.node.discovery.roster.endpoints.get(backend)
+        address = self.node.discovery.backend_list.endpoints.get(backend)
         if address is None:
             self.node.conclude(attempt, Outcome.CONNECT_FAILED)
             return
@@ -372,7 +372,7 @@
                 return
         if len(conns) >= CONNECTIONS:
             self.node.conclude(attempt, Outcome.FULL)
-        elif not self.node.room_for_upstream():
+        elif not self.node.has_room_for_backend():
             self.node.conclude(attempt, Outcome.NOT_SENT)
         else:
             conn = ServerConnection(self, backend, address)
@@ -383,7 +383,7 @@
         """Send a server something that is no request; False where it can't be tried now: the
         server is not there, drains or is banned, or nothing more fits."""
         known = self.node.balancer.backends.get(backend)
-        address = self.node.discovery.roster.endpoints.get(backend)
+        address = self.node.discovery.backend_list.endpoints.get(backend)
         if known is None or known.state != ListState.READY or address is None:
             return False
         conns = self.conns.setdefault(backend, [])
@@ -391,7 +391,7 @@
             if conn.address == address and conn.takes():
                 conn.advise(one)
                 return True
-        if len(conns) >= CONNECTIONS or not self.node.room_for_upstream():
+        if len(conns) >= CONNECTIONS or not self.node.has_room_for_backend():
             if not conns:
                 del self.conns[backend]
             return False
@@ -406,7 +406,7 @@
             conns.remove(conn)
         if not conns:
             self.conns.pop(conn.backend, None)
-        self.node.freed()
+        self.node.on_descriptor_freed()
 
     def rests(self, conn: ServerConnection) -> None:
         if conn.drains and not conn.carried and not conn.machine.out:
--- a/tansywood/service/isotenant.py
+++ b/tansywood/service/isotenant.py
@@ -68,7 +68,7 @@
     def adopt(self, sock: socket.socket, _listener: str, _first: bytes) -> None:
         """Take over a connection; one too many is closed."""
         front = self.front
-        open_now = len(self.waiting) + (front.node.clients if front is not None else 0)
+        open_now = len(self.waiting) + (front.node.client_count if front is not None else 0)
         if open_now + len(self._tasks) >= self.most or self.stopping:
             self.report.turned_away(503)
             sock.close()
@@ -138,11 +138,13 @@
         cls = self.mapping.class_of(caller.message) or ""
         report, node = self.state.report, self.node
         if fate == Fate.NEVER_RAN:
-            report.refused(cls, "open" if node.open >= node.config.max_open else "busy")
+            report.refused(
+                cls, "open" if node.open_request_count >= node.config.max_open_requests else "busy"
+            )
         elif fate == Fate.IN_DOUBT:
             report.failed(cls)
         else:
-            taken = node.now - caller.request.arrived if caller.request is not None else 0
+            taken = node.now - caller.request.arrived_at if caller.request is not None else 0
             report.served(cls, taken)
         super().settle(caller, answer, fate)
 
@@ -163,8 +165,8 @@
         self.mapping = mapping_of(iso)
         self.node = node = IsoNode(shape.config(self.uid, self.settings), loop)
         limits = self.settings.limits
-        node.budget.limit(limits.held_bytes)
-        node.discovery = Discovery(node.config, node.members_told, node.log)
+        node.budget.set_limit(limits.held_bytes)
+        node.discovery = Discovery(node.config, node.apply_member_update, node.log)
         node.upstream = IsoLink(
             node,
             self.codec,
@@ -178,7 +180,7 @@
         state.status = view["status"]
         state.most = limits.connections
         node.start()
-        node.discovery.tell(shape.members(self.settings, view["since"], self.rev))
+        node.discovery.apply_list(shape.members(self.settings, view["since"], self.rev))
         self.records: StoreRecords | None = None
         self.path = Path(folder) / self.uid
         self.begin()
@@ -241,20 +243,20 @@
         assert new.iso8583 is not None
         config = shape.config(self.uid, new)
         node.config = config
-        node.sockets = node.own_sockets()
-        node.budget.limit(new.limits.held_bytes)
+        node.max_connections = node.compute_max_connections()
+        node.budget.set_limit(new.limits.held_bytes)
         state.most = new.limits.connections
         if new.limits != old.limits and state.bucket is not None:
             state.bucket.change(time.monotonic_ns(), new.limits.rate_per_s, new.limits.burst)
-        numbers = node.retune(config.settings)
+        numbers = node.update_settings(config.settings)
         self.mapping = node.upstream.mapping = mapping_of(new.iso8583)
         if state.front is not None:
             state.front.mapping = self.mapping
             state.front.know(config.settings.classes, numbers)
         if new.servers != old.servers:
             self.rev += 1
-            node.discovery.roster.name_zones(shape.zones(new))
-            node.discovery.tell(shape.members(new, view["since"], self.rev))
+            node.discovery.backend_list.add_zones(shape.zones(new))
+            node.discovery.apply_list(shape.members(new, view["since"], self.rev))
         self.set_status(view["status"])
 
     def set_status(self, status: str) -> None:
@@ -274,7 +276,7 @@
         """Whether nothing would be lost with it: nobody there, nothing out, nothing owed."""
         front = self.server.front
         owed = front is not None and front.reversals.owed
-        return self.opening.done() and not (self.node.requests or self.node.clients or owed)
+        return self.opening.done() and not (self.node.requests or self.node.client_count or owed)
 
     def finished(self) -> bool:
         return not self.node.requests and not self.server.waiting
@@ -287,8 +289,8 @@
             self.server.front.close()
         self.node.upstream.close()
         self.node.discovery.close()
-        if self.node.timer is not None:
-            self.node.timer.cancel()
+        if self.node.loop_timer is not None:
+            self.node.loop_timer.cancel()
         self.node.timers.clear()
         if self.records is not None:
             self.closing = self.loop.create_task(self.records.close())
--- a/tansywood/service/limiting.py
+++ b/tansywood/service/limiting.py
@@ -69,8 +69,8 @@
     number = numbers(settings)
     fraction = min(amounts.rate / (limits.rate_per_s * 1000), 1.0)
     of_open = min(amounts.open / limits.open, 1.0)
-    node.config = replace(node.config, max_open=amounts.open)
-    node.budget.limit(int(limits.held_bytes * of_open))
+    node.config = replace(node.config, max_open_requests=amounts.open)
+    node.budget.set_limit(int(limits.held_bytes * of_open))
     if bucket is not None:
         bucket.change(now, amounts.rate / 1000, limits.burst * fraction)
 
--- a/tansywood/service/node.py
+++ b/tansywood/service/node.py
@@ -29,7 +29,7 @@
     def __init__(self, run: Run, face: AsyncStore) -> None:
         self.run = run
         self.face = face
-        self.clock = run.node.discovery.roster.clock
+        self.clock = run.node.discovery.backend_list.wall_clock_offset_ns
 
     def recall(self, balancer: Balancer, now: int) -> None:
         """Never raises: what can't be read is not recalled."""
@@ -68,7 +68,7 @@
     async def around(run: Run) -> None:
         async with AsyncStore(store) as face:
             recorder = HealthRecorder(run, face)
-            run.node.recall = recorder.recall
+            run.node.restore_state = recorder.recall
             saving = asyncio.ensure_future(recorder.saves())
             try:
                 await run.run()
--- a/tansywood/service/shape.py
+++ b/tansywood/service/shape.py
@@ -11,7 +11,7 @@
 from tansywood.tenancy.schema import MAX_ZONES
 from tansywood.tenancy.settings import TenantSettings, server_uid
 from windrelay.config import Address, Config
-from windrelay.node import RESERVED, Node
+from windrelay.node import RESERVED_DESCRIPTORS, Node
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -57,11 +57,11 @@
 @contextlib.contextmanager
 def entered(node: Node) -> Iterator[int]:
     """The time, for what is told to a node's module from outside its own events."""
-    now = node.enter()
+    now = node.begin_event()
     try:
         yield now
     finally:
-        node.leave()
+        node.end_event()
 
 
 def refuse_waiting(node: Node) -> None:
@@ -84,15 +84,15 @@
         listen=NOWHERE,
         discovery=NOWHERE,
         seed=int.from_bytes(blake2b(uid.encode(), digest_size=8).digest(), "big"),
-        memory_mb=0,  # its bytes are limited by themselves: see Budget.limit
-        sockets=RESERVED + limits.connections + limits.connections // 2 + 8,
-        known={"rev": 0, "all": True, "targets": []},
+        memory_mb=0,  # its bytes are limited by themselves: see MemoryBudget.set_limit
+        max_descriptors=RESERVED_DESCRIPTORS + limits.connections + limits.connections // 2 + 8,
+        initial_list={"rev": 0, "all": True, "targets": []},
         settings=settings(tenant),
         zones=zones(tenant),
         kinds=(),
-        idle_close=15 * SECOND,
-        max_open=limits.open,
-        reports=False,
+        backend_idle_timeout=15 * SECOND,
+        max_open_requests=limits.open,
+        load_reports_enabled=False,
         raw={},
     )
 
--- a/tansywood/service/sharing.py
+++ b/tansywood/service/sharing.py
@@ -227,18 +227,18 @@
             w = self.watched[uid] = _Watched()
             w.counts.append((now, 0))
         asked = sum(c.asked for c in hosted.server.report.classes.values())
-        if asked != w.counts[-1][1] or node.open:
+        if asked != w.counts[-1][1] or node.open_request_count:
             w.busy_at = now
         rate = w.rate(now, asked)
         busy = now - w.busy_at <= REST
-        w.peak = max(float(node.open), 0.9 * w.peak)
+        w.peak = max(float(node.open_request_count), 0.9 * w.peak)
         need = int(w.peak * HEADROOM) + 2 if busy else 0
-        if node.open >= node.config.max_open:
-            need += max(node.open, 2)  # more are turned away, nobody knows how many
+        if node.open_request_count >= node.config.max_open_requests:
+            need += max(node.open_request_count, 2)  # more are turned away, nobody knows how many
         return {
             "rate": int(rate * 1000) if busy else 0,
             "open": need,
-            "used": node.open,
+            "used": node.open_request_count,
             "places": _places(hosted, busy) if hosted.settings.limits.places else {},
             "seen": _seen(now, hosted),
         }
--- a/tansywood/service/tenant.py
+++ b/tansywood/service/tenant.py
@@ -128,7 +128,7 @@
             refusal = hosted.refusal()
             if refusal is not None:
                 status, wait, why = refusal
-                hosted.node.budget.give(incoming.reserved_bytes)
+                hosted.node.budget.release(incoming.reserved_bytes)
                 self._keep_alive = incoming.keep_alive and status == 429
                 hosted.report.refused(self._cls, why)
                 super().send_empty_response(status, wait)
@@ -140,20 +140,23 @@
     def send_response(self, content_type: bytes, chunks: list[bytes], size: int) -> None:
         request = self._request
         if request is not None:
-            self._hosted.report.served(self._cls, self._hosted.node.now - request.arrived)
+            self._hosted.report.served(self._cls, self._hosted.node.now - request.arrived_at)
         super().send_response(content_type, chunks, size)
 
     def begin_stream(self, content_type: bytes, length: int, source: StreamSource) -> None:
         request = self._request
         if request is not None:
-            self._hosted.report.served(self._cls, self._hosted.node.now - request.arrived)
+            self._hosted.report.served(self._cls, self._hosted.node.now - request.arrived_at)
         super().begin_stream(content_type, length, source)
 
     def send_empty_response(self, status: int, retry_after: int) -> None:
         report = self._hosted.report
         if status == 503:
             node = self._hosted.node
-            report.refused(self._cls, "open" if node.open >= node.config.max_open else "busy")
+            report.refused(
+                self._cls,
+                "open" if node.open_request_count >= node.config.max_open_requests else "busy",
+            )
         else:
             report.failed(self._cls)
         super().send_empty_response(status, retry_after)
@@ -198,13 +201,13 @@
 
     def adopt(self, sock: socket.socket, listener: str, first: bytes) -> None:
         """Take over a connection and what was read from it."""
-        full = self.node.clients >= self.most or not self.node.room_for_client()
+        full = self.node.client_count >= self.most or not self.node.has_room_for_client()
         if full and not self.evict():
             self.report.turned_away(503)
             with_answer(self.node.loop, sock, FULL)
             return
         sock.setblocking(False)
-        self.node.clients += 1
+        self.node.client_count += 1
         self._attach_transport(sock, TenantConnection(self, sock, listener, first))
 
     def hold(self, held: bool) -> None:
@@ -247,14 +250,14 @@
         self.settings: TenantSettings = read(view["document"])
         self.rev = 1
         self.node = HttpNode(shape.config(self.uid, self.settings), loop)
-        self.node.budget.limit(self.settings.limits.held_bytes)
+        self.node.budget.set_limit(self.settings.limits.held_bytes)
         self.server = TenantServer(self.node, self.uid, identify)
         limits = self.settings.limits
         self.server.bucket = Bucket(time.monotonic_ns(), limits.rate_per_s, limits.burst)
         self.server.status = view["status"]
         self.server.most = limits.connections
         self.node.start()
-        self.node.discovery.tell(shape.members(self.settings, view["since"], self.rev))
+        self.node.discovery.apply_list(shape.members(self.settings, view["since"], self.rev))
 
     def change(self, view: dict[str, Any]) -> None:
         """Go on under another version; what is under way ends by the stricter rules."""
@@ -267,17 +270,17 @@
         old, self.settings = self.settings, new
         config = shape.config(self.uid, new)
         node.config = config
-        node.sockets = node.own_sockets()
-        node.budget.limit(new.limits.held_bytes)
+        node.max_connections = node.compute_max_connections()
+        node.budget.set_limit(new.limits.held_bytes)
         server.most = new.limits.connections
         if new.limits != old.limits:
             assert server.bucket is not None
             server.bucket.change(time.monotonic_ns(), new.limits.rate_per_s, new.limits.burst)
-        server.set_classes(config.settings.classes, node.retune(config.settings))
+        server.set_classes(config.settings.classes, node.update_settings(config.settings))
         if new.servers != old.servers:
             self.rev += 1
-            node.discovery.roster.name_zones(shape.zones(new))
-            node.discovery.tell(shape.members(new, view["since"], self.rev))
+            node.discovery.backend_list.add_zones(shape.zones(new))
+            node.discovery.apply_list(shape.members(new, view["since"], self.rev))
         self.set_status(view["status"])
         server.epoch += 1
 
@@ -317,8 +320,8 @@
         while self.node.upstream.close_oldest_idle():
             pass
         self.node.discovery.close()
-        if self.node.timer is not None:
-            self.node.timer.cancel()
+        if self.node.loop_timer is not None:
+            self.node.loop_timer.cancel()
         self.node.timers.clear()
 
     def sweep(self) -> None:
--- a/tansywood/service/worker.py
+++ b/tansywood/service/worker.py
@@ -122,7 +122,7 @@
             hosted.change(view)
             self.limit(hosted)
         except Exception as err:
-            hosted.node.crashed("a change of settings", err)
+            hosted.node.record_error("a change of settings", err)
             raise
 
     def give_up(self, uid: str) -> bool:
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -22,17 +22,18 @@
 from standins.platform import SETTINGS, answer, config, parts, request, roster, target
 
 __all__ = [
-    "LIMIT", "ROOT", "SETTINGS", "Peer", "Running", "accept", "answer", "caught", "config",
-    "launch", "listen", "node", "port", "request", "roster", "target", "until",
+    "HANG_TIMEOUT_S", "ROOT", "SETTINGS", "Peer", "RunningNode", "accept", "answer", "config",
+    "launch", "listen", "node", "port", "request", "roster", "target", "wait_until",
+    "wait_until_signal_handled",
 ]  # fmt: skip
 
 ROOT = Path(__file__).resolve().parent.parent
-LIMIT = 20.0  # seconds; a hang, not a measure
+HANG_TIMEOUT_S = 20.0  # seconds; a hang, not a measure
 
 
 def listen() -> socket.socket:
     sock = socket.create_server(("127.0.0.1", 0))
-    sock.settimeout(LIMIT)
+    sock.settimeout(HANG_TIMEOUT_S)
     return sock
 
 
@@ -46,13 +47,13 @@
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        sock.settimeout(LIMIT)
+        sock.settimeout(HANG_TIMEOUT_S)
         self.buffer = b""
 
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
-    def more(self) -> bool:
+    def receive(self) -> bool:
         try:
             data = self.sock.recv(65536)
         except ConnectionError:
@@ -63,20 +64,20 @@
     def message(self) -> tuple[str, dict[str, str], bytes]:
         """One whole message with Content-Length: first line, headers, body."""
         while b"\r\n\r\n" not in self.buffer:
-            if not self.more():
+            if not self.receive():
                 raise EOFError(f"ended after {self.buffer!r}")
         head, _, self.buffer = self.buffer.partition(b"\r\n\r\n")
         first, headers = parts(head)
         size = int(headers.get("content-length", "0"))
         while len(self.buffer) < size:
-            if not self.more():
+            if not self.receive():
                 raise EOFError("ended within a body")
         body, self.buffer = self.buffer[:size], self.buffer[size:]
         return first, headers, body
 
-    def ends(self) -> bytes:
+    def read_to_end(self) -> bytes:
         """Everything up to the end of the connection."""
-        while self.more():
+        while self.receive():
             pass
         return self.buffer
 
@@ -88,7 +89,7 @@
         self.sock.close()
 
 
-class Running:
+class RunningNode:
     """A node's process."""
 
     def __init__(self, process: subprocess.Popen[str], port: int, file: Path) -> None:
@@ -103,11 +104,11 @@
         self.process.send_signal(signal.SIGHUP)
 
     def connect(self) -> Peer:
-        return Peer(socket.create_connection(("127.0.0.1", self.port), LIMIT))
+        return Peer(socket.create_connection(("127.0.0.1", self.port), HANG_TIMEOUT_S))
 
     def stop(self) -> int:
         self.process.send_signal(signal.SIGTERM)
-        return self.process.wait(LIMIT)
+        return self.process.wait(HANG_TIMEOUT_S)
 
     def cpu_ms(self) -> float:
         stat = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
@@ -132,7 +133,7 @@
     )
 
 
-def caught(process: subprocess.Popen[str], number: signal.Signals) -> None:
+def wait_until_signal_handled(process: subprocess.Popen[str], number: signal.Signals) -> None:
     """Wait until the program handles this signal: its first act, once Python is up."""
     while True:
         assert process.poll() is None
@@ -146,7 +147,7 @@
 @contextlib.contextmanager
 def node(
     tmp_path: Path, known: dict[str, object], discovery: int = 1, **over: Any
-) -> Iterator[Running]:
+) -> Iterator[RunningNode]:
     """A node that listens. Port 1 as discovery refuses every call."""
     environ = config(tmp_path, known, discovery, **over)
     process = launch(environ)
@@ -154,12 +155,12 @@
         assert process.stderr is not None
         line = process.stderr.readline()
         assert "listening on" in line, line + process.stderr.read()
-        running = Running(process, int(line.rsplit(":", 1)[1]), Path(environ["PROXY_CONFIG"]))
+        running = RunningNode(process, int(line.rsplit(":", 1)[1]), Path(environ["PROXY_CONFIG"]))
         yield running
         assert process.poll() is None or process.returncode == 0
     finally:
         process.kill()
-        process.wait(LIMIT)
+        process.wait(HANG_TIMEOUT_S)
         if process.stderr is not None:
             process.stderr.close()
 
@@ -168,9 +169,9 @@
     return Peer(server.accept()[0])
 
 
-def until(condition: Any) -> None:
+def wait_until(condition: Any) -> None:
     """Wait for something that only the process itself can bring about."""
-    end = time.monotonic() + LIMIT
+    end = time.monotonic() + HANG_TIMEOUT_S
     while not condition():
         assert time.monotonic() < end, "never came about"
         time.sleep(0.01)
--- a/tests/iso8583/test_mixed.py
+++ b/tests/iso8583/test_mixed.py
@@ -68,8 +68,8 @@
             conn.close()
         while self.node.upstream.close_oldest_idle():
             pass
-        if self.node.timer is not None:
-            self.node.timer.cancel()
+        if self.node.loop_timer is not None:
+            self.node.loop_timer.cancel()
         for server in self.servers:
             server.kill()
         await asyncio.sleep(0.02)
@@ -115,7 +115,7 @@
                     assert len(ran) <= 1
             assert not w.ledger.problems(breaks=False)
             assert not http.ledger.problems(breaks=False)
-            assert not http.node.crashes
+            assert not http.node.unexpected_error_count
             await http.close()
 
     run(main())
--- a/tests/iso8583/test_sockets.py
+++ b/tests/iso8583/test_sockets.py
@@ -223,10 +223,10 @@
     async def main() -> None:
         async with world(None) as w:
             terminal = await w.terminal()
-            w.node.config = replace(w.node.config, max_open=0)
+            w.node.config = replace(w.node.config, max_open_requests=0)
             message = terminal.message()
             assert await w.ask(terminal, message) == End.REFUSED
-            w.node.config = replace(w.node.config, max_open=10)
+            w.node.config = replace(w.node.config, max_open_requests=10)
             assert (await terminal.ask(again(message))).fields[39] == "00"
             assert len(w.servers[0].seen) == 1
 
@@ -289,7 +289,7 @@
                 await asyncio.sleep(0.001)
             first, second = w.servers
             rows = [target(first.name, first.port, "leaving"), target(second.name, second.port)]
-            w.node.discovery.tell(roster(*rows, rev=2))
+            w.node.discovery.apply_list(roster(*rows, rev=2))
             assert await asyncio.gather(*asking) == [End.SERVED] * 6
             before = len(w.servers[0].seen)
             for _ in range(6):
--- a/tests/iso8583/world.py
+++ b/tests/iso8583/world.py
@@ -56,14 +56,14 @@
         discovery=nowhere,
         seed=7,
         memory_mb=0,
-        sockets=256,
-        known=known,
+        max_descriptors=256,
+        initial_list=known,
         settings=made,
         zones=("east",),
         kinds=(),
-        idle_close=15_000 * MS,
-        max_open=5000,
-        reports=False,
+        backend_idle_timeout=15_000 * MS,
+        max_open_requests=5000,
+        load_reports_enabled=False,
         raw={},
     )
 
@@ -165,9 +165,11 @@
         loop = asyncio.get_running_loop()
         known = roster(*(target(s.name, s.port) for s in self.servers))
         self.node = IsoNode(node_config(known, self.settings), loop)
-        self.node.budget.limit(64 << 20)
+        self.node.budget.set_limit(64 << 20)
         self.node.log = self.logged.append  # type: ignore[method-assign, assignment]
-        self.node.discovery = Discovery(self.node.config, self.node.members_told, self.node.log)
+        self.node.discovery = Discovery(
+            self.node.config, self.node.apply_member_update, self.node.log
+        )
         mapping = over.pop("mapping", MAPPING)
         link = over.pop("link", {})
         self.node.upstream = IsoLink(self.node, CODEC, FRAMING, mapping, **link)
@@ -221,9 +223,9 @@
         for server in w.servers:
             if servers is None:
                 server.kill()
-        if w.node.timer is not None:
-            w.node.timer.cancel()
+        if w.node.loop_timer is not None:
+            w.node.loop_timer.cancel()
         await asyncio.sleep(0.02)
-        assert not w.node.crashes, w.logged
+        assert not w.node.unexpected_error_count, w.logged
     if servers is None and not over:
         assert len(os.listdir("/proc/self/fd")) <= before + 1
--- a/tests/race_harness.py
+++ b/tests/race_harness.py
@@ -16,7 +16,7 @@
 from standins.platform import parts
 
 from .harness import roster, target
-from .inside import Inside, inside
+from .inside import InProcessNode, in_process_node
 
 RESET = b"\1\0\0\0\0\0\0\0"  # of SO_LINGER: a close resets the connection
 
@@ -81,7 +81,7 @@
 class Crossing:
     """A node before servers that the test plays, `s-0`, `s-1`, ... in the order of `servers`."""
 
-    def __init__(self, one: Inside, servers: list[socket.socket]) -> None:
+    def __init__(self, one: InProcessNode, servers: list[socket.socket]) -> None:
         self.one = one
         self.node = one.node
         self.loop = one.loop
@@ -111,11 +111,11 @@
                 return self.keep(sock)
 
     async def until(self, condition: Callable[[], object]) -> None:
-        await self.one.until(condition)
+        await self.one.wait_until(condition)
 
     async def settled(self) -> None:
         """The node has read and told all that has come so far."""
-        await self.one.turns(30)
+        await self.one.run_loop_turns(30)
 
 
 @contextlib.contextmanager
@@ -128,7 +128,7 @@
         for listener in listeners:
             listener.setblocking(False)
         rows = [target(f"s-{i}", s.getsockname()[1]) for i, s in enumerate(listeners)]
-        with inside(tmp_path, roster(*rows), **over) as one:
+        with in_process_node(tmp_path, roster(*rows), **over) as one:
             world = Crossing(one, listeners)
             yield world
             for end in world.ends:
--- a/tests/service/test_floods.py
+++ b/tests/service/test_floods.py
@@ -89,7 +89,7 @@
     """Past the limit the next is refused, which is harmless; a small one always passes."""
     with inside() as one:
         node = one.hosted.node
-        node.budget.limit(3 * HALF)
+        node.budget.set_limit(3 * HALF)
 
         def whole(path: str) -> bytes:
             return ask(path, bytes(2 * HALF))
@@ -97,7 +97,7 @@
         async def main() -> None:
             one.server.go.set()
             slow = [one.hand(whole(f"/credit/s{i}")[:-HALF]) for i in range(2)]
-            await one.until(lambda: node.budget.held == 2 * HALF)
+            await one.until(lambda: node.budget.held_bytes == 2 * HALF)
             late = one.hand(whole("/credit/late")[:-HALF])
             assert (await one.read(late)).startswith(b"HTTP/1.1 503 ")
             small = one.hand(ask("/credit/2", b"x" * 100))
@@ -108,7 +108,7 @@
             for sock in (*slow, late, small):
                 sock.close()
             await one.until(lambda: not one.hosted.server.connections)
-            await one.until(lambda: node.budget.held == 0)
+            await one.until(lambda: node.budget.held_bytes == 0)
             again = one.hand(whole("/credit/3"))
             assert (await one.read(again)).startswith(b"HTTP/1.1 200 ")
             again.close()
--- a/tests/service/test_hosted.py
+++ b/tests/service/test_hosted.py
@@ -20,7 +20,7 @@
 from tansywood.tenancy.identity import Directory, Key, Shown, digest, token
 from tansywood.tenancy.settings import ACTIVE, DRAINING, SUSPENDED
 
-from ..harness import LIMIT
+from ..harness import HANG_TIMEOUT_S
 from ..tenancy.documents import document
 
 TOKEN = token("k" * 12, "s" * 43)
@@ -119,7 +119,7 @@
             await asyncio.sleep(0.001)
 
     def run(self, main: Any) -> Any:
-        return self.loop.run_until_complete(asyncio.wait_for(main, LIMIT))
+        return self.loop.run_until_complete(asyncio.wait_for(main, HANG_TIMEOUT_S))
 
 
 def ask(path: str = "/balance/1", body: bytes | None = None) -> bytes:
@@ -139,7 +139,7 @@
             await one.until(lambda: not one.hosted.node.requests)
             one.hosted.end()
             await one.until(
-                lambda: not one.hosted.node.clients
+                lambda: not one.hosted.node.client_count
                 and not one.hosted.node.upstream.descriptor_count
             )
             one.task.cancel()
@@ -149,7 +149,7 @@
             await asyncio.sleep(0.01)
 
         one.run(stop())
-        assert not one.hosted.node.crashes
+        assert not one.hosted.node.unexpected_error_count
     finally:
         one.loop.close()
         asyncio.set_event_loop(None)
@@ -373,9 +373,9 @@
 def test_a_tenants_log_and_limits_are_its_own() -> None:
     with inside() as one:
         node = one.hosted.node
-        assert node.config.max_open == 500 and node.budget.room == 8 << 20
+        assert node.config.max_open_requests == 500 and node.budget.limit_bytes == 8 << 20
         one.change(limits={"open": 7, "connections": 3, "held_bytes": 70_000})
-        assert node.config.max_open == 7 and node.budget.room == 70_000
+        assert node.config.max_open_requests == 7 and node.budget.limit_bytes == 70_000
         assert node.config.name == "cork"
 
 
@@ -411,7 +411,7 @@
         assert len(worker.follower.views) == 299
         # One that can't be taken, as of a newer program, leaves what is in force as it is.
         worker.follower._take("u-1", views["u-1"] | {"version": 2, "document": {"name": "t-1"}})
-        assert work[1].version == 1 and not work[1].node.crashes
+        assert work[1].version == 1 and not work[1].node.unexpected_error_count
         for hosted in work:
             hosted.end()
 
@@ -433,15 +433,15 @@
         worker.follower._take_all({"u": view(1, 10)})
         hosted = worker.host(view(1, 10))
         assert isinstance(hosted, Hosted)
-        before = (hosted.settings, hosted.server.most, hosted.node.config.sockets)
+        before = (hosted.settings, hosted.server.most, hosted.node.config.max_descriptors)
 
         def fail(_settings: object) -> None:
             monkeypatch.undo()
             raise ValueError("halfway")
 
-        monkeypatch.setattr(hosted.node, "retune", fail)
+        monkeypatch.setattr(hosted.node, "update_settings", fail)
         worker.follower._take("u", view(2, 20))
-        assert (hosted.settings, hosted.server.most, hosted.node.config.sockets) == before
+        assert (hosted.settings, hosted.server.most, hosted.node.config.max_descriptors) == before
         assert hosted.version == 1 and worker.follower.views["u"] == view(1, 10)
         worker.follower._take("u", view(3, 30))
         assert (hosted.version, hosted.server.most) == (3, 30)
@@ -481,7 +481,7 @@
         assert not worker.ended.done()
         worker.leave(door)
         other.close()
-        assert await asyncio.wait_for(worker.ended, LIMIT) == 0
+        assert await asyncio.wait_for(worker.ended, HANG_TIMEOUT_S) == 0
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(main())
--- a/tests/service/test_worker.py
+++ b/tests/service/test_worker.py
@@ -12,7 +12,7 @@
 from tansywood.service.part import Place
 from tansywood.service.worker import Worker
 
-from ..harness import LIMIT
+from ..harness import HANG_TIMEOUT_S
 
 REPLY_BYTES = 1 << 20  # more than is sent before the transport asks for a pause, and than is read
 
@@ -104,4 +104,4 @@
             server.close()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(main(), LIMIT))
+        runner.run(asyncio.wait_for(main(), HANG_TIMEOUT_S))
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -19,9 +19,9 @@
 
 from .fakes import MS, PURE, SECOND, UNSAFE, build
 from .harness import (
-    LIMIT,
+    HANG_TIMEOUT_S,
     Peer,
-    Running,
+    RunningNode,
     accept,
     answer,
     listen,
@@ -29,9 +29,9 @@
     request,
     roster,
     target,
-    until,
+    wait_until,
 )
-from .inside import inside
+from .inside import in_process_node
 
 BIG = 8 << 20
 NOISE = Random(1).randbytes(1 << 20)
@@ -42,7 +42,7 @@
 
 
 @contextlib.contextmanager
-def pair(tmp_path: Path, **over: object) -> Iterator[tuple[Running, socket.socket]]:
+def pair(tmp_path: Path, **over: object) -> Iterator[tuple[RunningNode, socket.socket]]:
     with listen() as backend:
         known = roster(target("s-1", backend.getsockname()[1]))
         with node(tmp_path, known, **over) as n:  # type: ignore[arg-type]
@@ -69,12 +69,12 @@
     whole = bytearray()
     while True:
         while b"\r\n" not in peer.buffer:
-            if not peer.more():
+            if not peer.receive():
                 raise EOFError
         size, _, peer.buffer = peer.buffer.partition(b"\r\n")
         count = int(size, 16)
         while len(peer.buffer) < count + 2:
-            if not peer.more():
+            if not peer.receive():
                 raise EOFError
         if not count:
             assert peer.buffer[:2] == b"\r\n"
@@ -86,7 +86,7 @@
 
 def head(peer: Peer) -> str:
     while b"\r\n\r\n" not in peer.buffer:
-        if not peer.more():
+        if not peer.receive():
             raise EOFError
     text, _, peer.buffer = peer.buffer.partition(b"\r\n\r\n")
     return text.decode()
@@ -125,7 +125,7 @@
             got = dechunked(client)
         else:
             while len(client.buffer) < size:
-                assert client.more()
+                assert client.receive()
             got, client.buffer = client.buffer, b""
         thread.join()
         assert sha256(got).digest() == sha256(data).digest()
@@ -149,7 +149,10 @@
         finish(conn)
 
     monkeypatch.setattr(ClientConnection, "end_stream", held)
-    with listen() as backend, inside(tmp_path, roster(target("s-1", port_of(backend)))) as i:
+    with (
+        listen() as backend,
+        in_process_node(tmp_path, roster(target("s-1", port_of(backend)))) as i,
+    ):
 
         async def story() -> None:
             port = i.server.listen(i.config.listen)
@@ -185,7 +188,7 @@
             peer, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(data, 5000)
         )
         assert "chunked" not in head(client)
-        assert client.ends() == data
+        assert client.read_to_end() == data
         thread.join()
 
 
@@ -222,9 +225,9 @@
         peer.send(start + body(200_000))
         head(client)
         while len(client.buffer) < 190_000:
-            assert client.more()
+            assert client.receive()
         peer.reset() if how == "reset" else peer.close()
-        assert len(client.ends()) < 210_000  # of 300,000, or with no last chunk
+        assert len(client.read_to_end()) < 210_000  # of 300,000, or with no last chunk
         assert not client.buffer.endswith(b"0\r\n\r\n")
         again = n.connect()
         again.send(request(rid="next"))
@@ -239,8 +242,8 @@
         peer.message()
         peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + body(200_000))
         head(client)
-        assert client.ends() == body(200_000)
-        assert peer.ends() == b""
+        assert client.read_to_end() == body(200_000)
+        assert peer.read_to_end() == b""
 
 
 def test_a_cut_that_only_a_reset_can_tell_is_a_reset(tmp_path: Path) -> None:
@@ -291,7 +294,7 @@
         thread = in_background(peer, answer(body(32 << 20)))
         head(client)
         client.reset()
-        thread.join(LIMIT)  # the node closed: the sender can't go on
+        thread.join(HANG_TIMEOUT_S)  # the node closed: the sender can't go on
         assert not thread.is_alive()
         before = n.descriptors()
         again = n.connect()
@@ -333,7 +336,7 @@
             threading.Event().wait(0.01)
         peer.send(data[90_000:])
         while len(client.buffer) < 100_000:
-            assert client.more()
+            assert client.receive()
         assert client.buffer == data
 
 
@@ -428,8 +431,8 @@
 
 
 def test_a_body_that_does_not_fit_is_refused_and_what_it_held_comes_back(tmp_path: Path) -> None:
-    with inside(tmp_path, roster(target("s-1", 1))) as i:
-        i.node.budget.limit(1 << 20)
+    with in_process_node(tmp_path, roster(target("s-1", 1))) as i:
+        i.node.budget.set_limit(1 << 20)
 
         async def story() -> None:
             port = i.server.listen(i.config.listen)
@@ -442,30 +445,30 @@
             writer.write(whole + chunked(body(2 << 20), 60_000)[: 1 << 21])
             assert b" 503 " in await reader.readline()
             writer.transport.abort()
-            while i.node.clients:
+            while i.node.client_count:
                 i.server.sweep()
                 await asyncio.sleep(0.001)
-            assert i.node.budget.held == 0
+            assert i.node.budget.held_bytes == 0
 
         i.run(story())
 
 
 def test_patience_with_a_body_goes_by_what_has_come(tmp_path: Path) -> None:
     """Sweeps are forced: no clock decides."""
-    with inside(tmp_path, roster(target("s-1", 1))) as i:
+    with in_process_node(tmp_path, roster(target("s-1", 1))) as i:
 
         async def story() -> None:
             port = i.server.listen(i.config.listen)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(request("/credit/1", b"", Content_Length=str(400_000)))
-            await i.until(lambda: i.server.connections)
+            await i.wait_until(lambda: i.server.connections)
             (conn,) = i.server.connections
-            await i.until(lambda: conn._headers_done)
+            await i.wait_until(lambda: conn._headers_done)
             incoming = conn._incoming
             assert incoming is not None
             for n in range(20):  # 16 KiB in a quarter of a second: the slowest line there is
                 writer.write(bytes(16 << 10))
-                await i.until(lambda n=n: incoming.body_size >= (n + 1) * (16 << 10))  # type: ignore[misc]
+                await i.wait_until(lambda n=n: incoming.body_size >= (n + 1) * (16 << 10))  # type: ignore[misc]
                 i.server.sweep()
             assert conn._incoming is incoming
             for _ in range(60):  # and then nothing
@@ -490,6 +493,6 @@
         for client in clients:
             client.reset()
         for thread in threads:
-            thread.join(LIMIT)
-        until(lambda: n.descriptors() <= before + 4)
+            thread.join(HANG_TIMEOUT_S)
+        wait_until(lambda: n.descriptors() <= before + 4)
         assert n.resident_mb("VmHWM") < 64
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -18,8 +18,19 @@
 from windrelay.upstream import BackendConnection
 
 from .fakes import MS, PURE, SECOND, UNSAFE, Host, build, rows
-from .harness import LIMIT, Peer, Running, accept, answer, listen, node, request, roster, target
-from .inside import inside
+from .harness import (
+    HANG_TIMEOUT_S,
+    Peer,
+    RunningNode,
+    accept,
+    answer,
+    listen,
+    node,
+    request,
+    roster,
+    target,
+)
+from .inside import in_process_node
 
 # ---- the module ---------------------------------------------------------
 
@@ -161,7 +172,7 @@
 
 @contextlib.contextmanager
 def operated(tmp_path: Path, backends: int = 1, **over: Any) -> Iterator[
-    tuple[Running, list[socket.socket], int]
+    tuple[RunningNode, list[socket.socket], int]
 ]:  # fmt: skip
     """A node whose second address is taken from its log."""
     with contextlib.ExitStack() as stack:
@@ -175,13 +186,13 @@
 
 
 def call(port: int, text: str) -> str:
-    with socket.create_connection(("127.0.0.1", port), LIMIT) as sock:
+    with socket.create_connection(("127.0.0.1", port), HANG_TIMEOUT_S) as sock:
         peer = Peer(sock)
         peer.send(text.encode())
-        return peer.ends().decode()
+        return peer.read_to_end().decode()
 
 
-def ready(n: Running) -> str:
+def ready(n: RunningNode) -> str:
     client = n.connect()
     client.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     status = client.message()[0].split(" ")[1]
@@ -191,14 +202,16 @@
 
 def test_each_call_is_answered_however_many_say_nothing(tmp_path: Path) -> None:
     with operated(tmp_path) as (_, _socks, port):
-        silent = [socket.create_connection(("127.0.0.1", port), LIMIT) for _ in range(2 * MOST)]
+        silent = [
+            socket.create_connection(("127.0.0.1", port), HANG_TIMEOUT_S) for _ in range(2 * MOST)
+        ]
         silent[-1].sendall(b"exclu")
         for _ in range(3):
             assert call(port, "readyz\n") == "done\n"
         # Those who came first have gone for it, and the latest have not.
-        assert Peer(silent[0]).ends() == b""
+        assert Peer(silent[0]).read_to_end() == b""
         silent[-1].sendall(b"de s-0\n")
-        assert Peer(silent[-1]).ends() == b"done\n"
+        assert Peer(silent[-1]).read_to_end() == b"done\n"
         for sock in silent:
             sock.close()
 
@@ -208,10 +221,10 @@
         assert call(port, "exclude s-99\n").startswith("error: no backend of this id")
         assert call(port, "include s-99\n").startswith("error")
         assert call(port, "x" * (LINE_MOST + 1)).startswith("error")
-        with socket.create_connection(("127.0.0.1", port), LIMIT) as sock:
+        with socket.create_connection(("127.0.0.1", port), HANG_TIMEOUT_S) as sock:
             sock.sendall(b"evacuate")
             sock.shutdown(socket.SHUT_WR)
-            assert Peer(sock).ends().startswith(b"error: half a call")
+            assert Peer(sock).read_to_end().startswith(b"error: half a call")
 
 
 def test_an_excluded_backend_is_sent_nothing_until_it_is_called_back(tmp_path: Path) -> None:
@@ -227,7 +240,7 @@
         for client in clients:
             client.message()
         assert call(port, "exclude s-0\n") == "done\n"
-        assert peers[0].ends() == b""  # what rested there has been closed
+        assert peers[0].read_to_end() == b""  # what rested there has been closed
         for _ in range(4):
             clients[0].send(request())
             peers[1].message()
@@ -258,17 +271,17 @@
     monkeypatch.setattr(BackendConnection, "_connect", first_hangs)
     with listen() as one, listen() as other:
         known = roster(*(target(f"s-{i}", s.getsockname()[1]) for i, s in enumerate((one, other))))
-        with inside(tmp_path, known) as i:
+        with in_process_node(tmp_path, known) as i:
 
             async def story() -> None:
                 port = i.server.listen(i.config.listen)
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(request("/credit/1", b"b"))
-                await i.until(lambda: held)
+                await i.wait_until(lambda: held)
                 dial = held[0]
                 i.node.exclude(dial.backend)
                 (r,) = i.node.requests.values()
-                assert [a.closed for a in r.attempts] == [True, False]
+                assert [a.concluded for a in r.attempts] == [True, False]
                 assert r.attempts[1].backend != dial.backend
                 sock = one if one.getsockname()[1] != dial.address.port else other
                 peer = await asyncio.to_thread(accept, sock)
@@ -294,7 +307,7 @@
         assert call(port, "evacuate\n") == "done\n"
         assert ready(n) == "503"
         assert call(port, "readyz\n") == "done\n"  # the process can serve
-        assert resting.ends() == b""
+        assert resting.read_to_end() == b""
         late = n.connect()  # the front has not heard yet
         late.send(request("/credit/1", b"b"))
         second = accept(socks[0])
@@ -305,13 +318,13 @@
         second.send(answer(b"late"))
         line, headers, body = late.message()
         assert headers["connection"] == "close" and body == b"late"
-        assert busy.ends() == b"" and late.ends() == b""
+        assert busy.read_to_end() == b"" and late.read_to_end() == b""
         assert call(port, "activate\n") == "done\n"
         assert ready(n) == "200"
         again = n.connect()
         again.send(request())
         peers = {peer.sock: peer, second.sock: second}
-        third = peers[select.select(list(peers), [], [], LIMIT)[0][0]]
+        third = peers[select.select(list(peers), [], [], HANG_TIMEOUT_S)[0][0]]
         third.message()
         third.send(answer(b"on"))
         assert "connection" not in again.message()[1]
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -38,7 +38,7 @@
 
 
 def open_past(w: Crossing, before: int) -> bool:
-    return w.node.open > before
+    return w.node.open_request_count > before
 
 
 async def filled(w: Crossing) -> list[ScriptedPeer]:
@@ -46,7 +46,7 @@
     busy = []
     while not w.node.balancer.waiting:
         last = w.client(request())
-        before = w.node.open
+        before = w.node.open_request_count
         await w.until(partial(open_past, w, before))
         if not w.node.balancer.waiting:
             busy.append(await w.server())
@@ -93,7 +93,7 @@
             client = w.client(request(rid="left"))
             held = w.node.balancer
             await w.until(lambda: any(b.held for b in held.backends.values()))
-            roster = w.node.discovery.roster.endpoints
+            roster = w.node.discovery.backend_list.endpoints
             (busy,) = (b.id for b in held.backends.values() if b.held)
             port = roster[busy].port
             number = [s.getsockname()[1] for s in w.servers].index(port)
@@ -101,7 +101,8 @@
             await server.message()
             getattr(client, how)()
             await w.until(
-                lambda: not w.node.open or any(r.half_closed for r in held.requests.values())
+                lambda: not w.node.open_request_count
+                or any(r.half_closed for r in held.requests.values())
             )
             server.send(TURNED_AWAY)  # it never ran, and would go to the other one
             await w.until(lambda: not w.node.requests)
@@ -150,7 +151,7 @@
             await w.until(lambda: made)
             getattr(leaver, how)()
             await w.until(
-                lambda: not w.node.open
+                lambda: not w.node.open_request_count
                 or any(r.half_closed for r in w.node.balancer.requests.values())
             )
             inner(*made.pop())
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -16,9 +16,9 @@
 import pytest
 
 from .harness import (
-    LIMIT,
+    HANG_TIMEOUT_S,
     Peer,
-    Running,
+    RunningNode,
     accept,
     answer,
     listen,
@@ -27,7 +27,7 @@
     request,
     roster,
     target,
-    until,
+    wait_until,
 )
 
 SOCKETS = 64
@@ -43,7 +43,7 @@
 
 
 @contextlib.contextmanager
-def crowded(n: Running, kind: str) -> Iterator[list[Peer]]:
+def crowded(n: RunningNode, kind: str) -> Iterator[list[Peer]]:
     """As many idle clients as come in, and more that wait at the door."""
     resource.prlimit(n.process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
     peers = []
@@ -54,7 +54,7 @@
             peers[-1].send(READY)
         elif kind == "half a head":
             peers[-1].send(READY[:20])
-    until(lambda: n.descriptors() > before + 20)
+    wait_until(lambda: n.descriptors() > before + 20)
     try:
         yield peers
     finally:
@@ -74,7 +74,7 @@
         n = stack.enter_context(node(tmp_path, known, port(disco), limits={"sockets": SOCKETS}))
         stack.enter_context(crowded(n, kind))
         disco.listen()
-        disco.settimeout(LIMIT)
+        disco.settimeout(HANG_TIMEOUT_S)
         peer = accept(disco)
         assert "?from=1&" in peer.message()[0]
         rows = roster(target("s-1", port(backend)), rev=2)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -17,13 +17,13 @@
 from flinthatch import Outcome
 from windrelay import server as windrelay_server
 from windrelay.config import Address
-from windrelay.discovery import Call
-from windrelay.glance import Glance
+from windrelay.discovery import RegistryCall
 from windrelay.node import Attempt
+from windrelay.socket_view import SocketView
 from windrelay.upstream import BackendConnection
 
 from .harness import accept, listen, request, roster, target
-from .inside import Inside, inside
+from .inside import InProcessNode, in_process_node
 
 
 class Strangers:
@@ -43,15 +43,17 @@
         assert not gone, f"closed behind their owner's back: {gone}"
 
 
-def attempt(one: Inside) -> Attempt:
+def attempt(one: InProcessNode) -> Attempt:
     """A probe's attempt: it needs no request and has one outcome like any other."""
-    a = Attempt(None, 0, next(iter(one.node.discovery.roster.endpoints)), time.monotonic_ns())
-    a.limit = 10_000_000_000
+    a = Attempt(None, 0, next(iter(one.node.discovery.backend_list.endpoints)), time.monotonic_ns())
+    a.timeout = 10_000_000_000
     return a
 
 
 def dialled(
-    one: Inside, monkeypatch: pytest.MonkeyPatch, made: Callable[[BackendConnection, Any], None]
+    one: InProcessNode,
+    monkeypatch: pytest.MonkeyPatch,
+    made: Callable[[BackendConnection, Any], None],
 ) -> tuple[list[BackendConnection], Attempt]:
     """Send one attempt; `made` stands before what connection_made does."""
     conns: list[BackendConnection] = []
@@ -67,9 +69,9 @@
 
     async def drive() -> None:
         one.node.upstream.send(a)
-        await one.until(lambda: a.closed)
-        await one.until(lambda: not one.node.upstream.descriptor_count)
-        await one.turns()
+        await one.wait_until(lambda: a.concluded)
+        await one.wait_until(lambda: not one.node.upstream.descriptor_count)
+        await one.run_loop_turns()
 
     one.run(drive())
     return conns, a
@@ -93,7 +95,7 @@
     kept a number that was closed already, and closed it again when it was collected."""
     with (
         listen() as backend,
-        inside(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as one,
+        in_process_node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as one,
     ):
         conns, _ = dialled(one, monkeypatch, lambda _conn, t: reset_and_wait(backend, t))
         strangers = Strangers()
@@ -107,7 +109,7 @@
 ) -> None:
     with (
         listen() as backend,
-        inside(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as one,
+        in_process_node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as one,
     ):
 
         def give_up(conn: BackendConnection, _transport: Any) -> None:
@@ -128,22 +130,22 @@
 ) -> None:
     with (
         listen() as backend,
-        inside(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as one,
+        in_process_node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as one,
     ):
         a = attempt(one)
 
         async def drive() -> None:
             one.node.upstream.send(a)
-            await one.turns(turns)
+            await one.run_loop_turns(turns)
             one.node.give_up(a, Outcome.TIMEOUT)
-            await one.until(lambda: not one.node.upstream.descriptor_count)
-            await one.turns()
+            await one.wait_until(lambda: not one.node.upstream.descriptor_count)
+            await one.run_loop_turns()
 
         one.run(drive())
         strangers = Strangers()
         gc.collect()
         strangers.check()
-        assert one.node.upstream.descriptor_count == 0 and not one.node.crashes
+        assert one.node.upstream.descriptor_count == 0 and not one.node.unexpected_error_count
 
 
 def test_a_loop_that_was_late_does_not_take_a_finished_dial_for_a_failed_one(
@@ -152,7 +154,7 @@
     """The dial's time is up before the loop has looked at what the kernel finished long ago."""
     with (
         listen() as backend,
-        inside(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as one,
+        in_process_node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as one,
     ):
         a = attempt(one)
         a_conn: list[BackendConnection] = []
@@ -161,17 +163,17 @@
             one.node.upstream.send(a)
             assert isinstance(a.connection, BackendConnection)
             a_conn.append(a.connection)
-            await one.turns(2)  # connecting, and not told yet
+            await one.run_loop_turns(2)  # connecting, and not told yet
             dial_timeout = one.config.settings.connect_timeout / 1e9
             time.sleep(dial_timeout * 1.5)
-            await one.until(lambda: a_conn[0].transport is not None or a.closed)
-            await one.turns()
+            await one.wait_until(lambda: a_conn[0].transport is not None or a.concluded)
+            await one.run_loop_turns()
 
         monkeypatch.setattr(
             "windrelay.upstream.BackendConnection._write_request", lambda self: None
         )
         one.run(drive())
-        assert not a.closed and a_conn[0].transport is not None
+        assert not a.concluded and a_conn[0].transport is not None
         one.run(asyncio.sleep(0))
         one.node.give_up(a, Outcome.CANCELLED)
 
@@ -184,8 +186,8 @@
         def get_extra_info(self, name: str, default: Any = None) -> Any:
             return left
 
-    for end in (Glance.end, Glance.close, lambda _: None):
-        glance = Glance(Transport())
+    for end in (SocketView.release, SocketView.close, lambda _: None):
+        glance = SocketView(Transport())
         assert glance.fileno() == number
         end(glance)
         del glance
@@ -199,7 +201,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The loop had not taken the number yet: nobody but us can close it."""
-    with inside(tmp_path, roster()) as one:
+    with in_process_node(tmp_path, roster()) as one:
         port = one.server.listen(one.config.listen)
         tried: list[socket.socket] = []
         before = len(os.listdir("/proc/self/fd"))
@@ -219,8 +221,8 @@
         async def drive() -> None:
             client = socket.create_connection(("127.0.0.1", port))
             client.sendall(request())
-            await one.until(lambda: tried)
-            await one.until(lambda: not one.node.clients)
+            await one.wait_until(lambda: tried)
+            await one.wait_until(lambda: not one.node.client_count)
             client.close()
 
         one.run(drive())
@@ -235,7 +237,7 @@
     tmp_path: Path, number: int
 ) -> None:
     """accept passes on what is wrong with the one it took; the listener is sound."""
-    with inside(tmp_path, roster()) as one:
+    with in_process_node(tmp_path, roster()) as one:
         port = one.server.listen(one.config.listen)
         real: Any = one.server._listener
         left = [OSError(number, os.strerror(number))] * 3
@@ -250,7 +252,7 @@
 
         async def drive() -> None:
             client = socket.create_connection(("127.0.0.1", port))
-            await one.until(lambda: one.server.connections)
+            await one.wait_until(lambda: one.server.connections)
             client.close()
 
         one.run(drive())
@@ -262,7 +264,7 @@
 def test_a_welcome_cancelled_after_any_number_of_turns_leaks_nothing(
     tmp_path: Path, turns: int
 ) -> None:
-    with inside(tmp_path, roster()) as one:
+    with in_process_node(tmp_path, roster()) as one:
         port = one.server.listen(one.config.listen)
 
         async def drive() -> None:
@@ -270,36 +272,36 @@
             one.server._accept()  # now, not when the loop gets to it: the turns are counted
             tasks = list(one.server._accept_tasks)
             assert tasks
-            await one.turns(turns)
+            await one.run_loop_turns(turns)
             for task in tasks:
                 task.cancel()
-            await one.until(lambda: not one.server._accept_tasks)
+            await one.wait_until(lambda: not one.server._accept_tasks)
             client.close()
-            await one.until(lambda: not one.node.clients)
+            await one.wait_until(lambda: not one.node.client_count)
 
         one.run(drive())
         strangers = Strangers()
         gc.collect()
         strangers.check()
-        assert one.node.clients == 0 and not one.node.crashes
+        assert one.node.client_count == 0 and not one.node.unexpected_error_count
 
 
 @pytest.mark.parametrize("turns", range(8))
 def test_a_call_of_the_list_dropped_after_any_number_of_turns_leaks_nothing(
     tmp_path: Path, turns: int
 ) -> None:
-    with listen() as service, inside(tmp_path, roster()) as one:
+    with listen() as service, in_process_node(tmp_path, roster()) as one:
         ended: list[object] = []
 
         async def drive() -> None:
             address = Address("127.0.0.1", service.getsockname()[1])
-            call = Call(address, "/registry/instances", 5.0, ended.append)
-            await one.turns(turns)
-            call.drop()
-            await one.turns()
+            call = RegistryCall(address, "/registry/instances", 5.0, ended.append)
+            await one.run_loop_turns(turns)
+            call.abort()
+            await one.run_loop_turns()
 
         one.run(drive())
         strangers = Strangers()
         gc.collect()
         strangers.check()
-        assert not ended and not one.node.crashes
+        assert not ended and not one.node.unexpected_error_count
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,13 +12,12 @@
 
 from flinthatch import State, Update
 from windrelay.config import load
-from windrelay.discovery import ListError, Roster, backend_id
+from windrelay.discovery import BackendList, ListError, backend_id
 
 from .harness import (
     Peer,
     accept,
     answer,
-    caught,
     config,
     launch,
     listen,
@@ -27,6 +26,7 @@
     request,
     roster,
     target,
+    wait_until_signal_handled,
 )
 
 
@@ -34,8 +34,8 @@
     peer.send(answer(json.dumps(raw).encode(), "200 OK", "Content-Type: application/json"))
 
 
-def make_roster(tmp_path: Path) -> Roster:
-    return Roster(load(config(tmp_path, roster(), 1)))
+def make_roster(tmp_path: Path) -> BackendList:
+    return BackendList(load(config(tmp_path, roster(), 1)))
 
 
 def test_a_watch_goes_on_and_its_news_count(tmp_path: Path) -> None:
@@ -53,7 +53,7 @@
         server.send(answer(b"1"))
         assert client.message()[2] == b"1"
         reply(peer, roster(target("s-1", port(backend), "leaving"), rev=3, whole=False))
-        assert server.ends() == b""  # no use for it any more
+        assert server.read_to_end() == b""  # no use for it any more
         assert "?from=3&" in accept(disco).message()[0]
 
 
@@ -123,7 +123,7 @@
             peer = accept(disco)
             peer.message()
             reply(peer, roster(target("s-1", port(new)), rev=2))
-            assert server.ends() == b""
+            assert server.read_to_end() == b""
             client.send(request())
             accept(new).message()
 
@@ -133,28 +133,28 @@
     lists = make_roster(tmp_path)
     boot_ms = time.time_ns() // 1_000_000 - 3_000
     raw = roster(target("s-1", 1, boot_ms=boot_ms), target("s-2", 2))
-    _, rows, _, _ = lists.read(raw)
-    _, again, _, _ = lists.read(raw)
+    _, rows, _, _ = lists.parse(raw)
+    _, again, _, _ = lists.parse(raw)
     assert rows == again
     assert rows[0].backend == backend_id("s-1") == 0x3231059C9D4DE0D
     age = time.monotonic_ns() - rows[0].boot
     assert 3_000_000_000 <= age < 60_000_000_000
     assert rows[1].boot == 0
-    _, later, _, _ = lists.read(roster(target("s-1", 1, boot_ms=boot_ms + 1_000)))
+    _, later, _, _ = lists.parse(roster(target("s-1", 1, boot_ms=boot_ms + 1_000)))
     assert later[0].boot != rows[0].boot
 
 
 def test_a_list_changes_nothing_until_it_is_applied(tmp_path: Path) -> None:
     lists = make_roster(tmp_path)
-    update, rows, endpoints, _ = lists.read(roster(target("s-1", 1), target("s-2", 2, "leaving")))
+    update, rows, endpoints, _ = lists.parse(roster(target("s-1", 1), target("s-2", 2, "leaving")))
     assert update == Update.FULL
     assert [row.state for row in rows] == [State.READY, State.DRAINING]
     lists.apply(1, update, rows, endpoints)
     with pytest.raises(ListError):
-        lists.read(roster(target("s-1", 9) | {"state": "asleep"}, rev=2))
-    assert lists.rev == 1
+        lists.parse(roster(target("s-1", 9) | {"state": "asleep"}, rev=2))
+    assert lists.revision == 1
     assert lists.endpoints[backend_id("s-1")].port == 1
-    update, rows, endpoints, _ = lists.read(roster(target("s-2", 2), rev=3))
+    update, rows, endpoints, _ = lists.parse(roster(target("s-2", 2), rev=3))
     assert lists.apply(3, update, rows, endpoints) == [backend_id("s-1")]
 
 
@@ -172,11 +172,11 @@
 def test_a_bad_row_voids_no_other(tmp_path: Path, change: dict[str, object]) -> None:
     """Drains beside it must be heard, and its own backend stays as it was."""
     lists = make_roster(tmp_path)
-    update, rows, endpoints, _ = lists.read(roster(target("s-1", 1), target("s-2", 2)))
+    update, rows, endpoints, _ = lists.parse(roster(target("s-1", 1), target("s-2", 2)))
     lists.apply(1, update, rows, endpoints)
     stranger = target("s-3", 3) | change
     raw = roster(target("s-1", 1) | change, target("s-2", 2, "leaving"), stranger, rev=2)
-    update, rows, endpoints, bad = lists.read(raw)
+    update, rows, endpoints, bad = lists.parse(raw)
     assert bad == 2
     assert [(r.backend, r.state) for r in rows] == [
         (backend_id("s-1"), State.READY),
@@ -199,7 +199,7 @@
             peer = accept(disco)
             peer.message()
             reply(peer, roster(target("s-2", port(backend)), rev=2, whole=False))
-            assert server.ends() == b""  # the old one's connection
+            assert server.read_to_end() == b""  # the old one's connection
             client.send(request(rid="b"))
             accept(backend).message()
 
@@ -209,7 +209,7 @@
     with listen() as disco, node(tmp_path, roster(), port(disco)):
         hung = accept(disco)
         assert int(hung.message()[0].split("hold_ms=")[1].split(" ")[0]) <= 4_000
-        assert hung.ends() == b""
+        assert hung.read_to_end() == b""
         gap = time.monotonic()
         again = accept(disco)
         assert time.monotonic() - gap < 0.4
@@ -224,7 +224,7 @@
         before = n.resident_mb()
         with contextlib.suppress(OSError):
             peer.send(b"HTTP/1.1 200 OK\r\nX-Pad: " + bytes(b"p" * (8 << 20)))
-        peer.ends()
+        peer.read_to_end()
         assert n.resident_mb() - before < 16
         accept(disco).message()
 
@@ -242,7 +242,7 @@
             n.reload(discovery=f"127.0.0.1:{port(new)}")
             peer = accept(new)
             assert peer.message()[0] == "GET /registry/instances HTTP/1.1"
-            assert watch.ends() == b""
+            assert watch.read_to_end() == b""
             reply(peer, roster(target("s-2", port(two)), rev=2))
             assert "?from=2&" in accept(new).message()[0]
             client = n.connect()
@@ -300,7 +300,7 @@
         environ = config(tmp_path, roster(rev=9), port(old))
         process = launch(environ)
         try:
-            caught(process, signal.SIGHUP)
+            wait_until_signal_handled(process, signal.SIGHUP)
             text = Path(environ["PROXY_CONFIG"]).read_text()
             text = text.replace(f":{port(old)}", f":{port(new)}")
             Path(environ["PROXY_CONFIG"]).write_text(text)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -68,7 +68,7 @@
     """What holds after whatever fault: alive, no promise broken, nothing stale, a clean stop."""
     assert w.node.alive(), w.node.text()
     assert w.ledger.problems(breaks) == []
-    assert await w.settles(), f"{w.node.descriptors()} descriptors"
+    assert await w.releases_descriptors(), f"{w.node.descriptors()} descriptors"
     assert told(folder / "faults.log").stale == ()
     assert "Traceback" not in w.node.text() and "raised" not in w.node.text(), w.node.text()
     w.node.term()
@@ -83,14 +83,14 @@
     async def main() -> None:
         plan = [Fault(call, error, after=3, times=times)]
         async with world(tmp_path, [Behaviour(), Behaviour()], plan) as w:
-            await w.crowd(6, 6)
+            await w.run_callers(6, 6)
             if call == "close":
-                await w.settles()
+                await w.releases_descriptors()
             layer = told(tmp_path / "faults.log")
             assert layer.faults, "the fault was never met"
             if len(layer.faults) == times:
                 # The faults are over: whoever comes now is served.
-                await w.crowd(2, 2)
+                await w.run_callers(2, 2)
                 late = list(w.ledger.entries.values())[-4:]
                 assert [e.ends for e in late] == [[End.SERVED]] * 4, w.node.text()
             await alive_and_whole(w, tmp_path)
@@ -108,7 +108,7 @@
             callers = [w.caller(f"c{i}") for i in range(3)]
             ends = [await caller.ask("balance") for caller in callers]
             _, writer = await asyncio.open_connection("127.0.0.1", w.node.port)  # never taken
-            assert await w.comes(lambda: bool(told(tmp_path / "faults.log").faults))
+            assert await w.becomes_true(lambda: bool(told(tmp_path / "faults.log").faults))
             for _ in range(3):
                 ends += [await caller.ask() for caller in callers]
             assert ends == [End.SERVED] * 12
@@ -131,7 +131,7 @@
         after = 2 if call == "socket" else 1  # the first is the listener's
         plan = [Fault(call, error, after, times=0)]
         async with world(tmp_path, [Behaviour()] * 2, plan) as w:
-            await w.crowd(3, 4)
+            await w.run_callers(3, 4)
             ends = [e.ends for e in w.ledger.entries.values()]
             assert ends == [[End.REFUSED]] * 12, w.node.text()
             assert not any(e.ran for e in w.ledger.entries.values())
@@ -146,7 +146,7 @@
 ) -> None:
     async def main() -> None:
         async with world(tmp_path, [Behaviour()], [Fault(call, error, times=0)]) as w:
-            await w.crowd(3, 4)
+            await w.run_callers(3, 4)
             assert {tuple(e.ends) for e in w.ledger.entries.values()} == {(End.BROKE,)}
             await alive_and_whole(w, tmp_path)
 
@@ -202,11 +202,11 @@
     async def main() -> None:
         behaviours = [Behaviour(GREETINGS, REPLIES) for _ in range(5)]
         async with world(tmp_path, behaviours, [], seed=seed, moods=MOODS) as w:
-            await w.crowd(25, 8, MANNERS, timeout_ms=600)
+            await w.run_callers(25, 8, MANNERS, timeout_ms=600)
             w.servers[0].kill()
-            await w.crowd(25, 8, MANNERS, timeout_ms=600)
+            await w.run_callers(25, 8, MANNERS, timeout_ms=600)
             await w.servers[0].start()
-            await w.crowd(25, 8, MANNERS, timeout_ms=600)
+            await w.run_callers(25, 8, MANNERS, timeout_ms=600)
             await alive_and_whole(w, tmp_path, breaks=False)
 
     asyncio.run(main())
--- a/tests/test_faulty_peers.py
+++ b/tests/test_faulty_peers.py
@@ -12,7 +12,18 @@
 
 import pytest
 
-from .harness import LIMIT, Peer, Running, accept, answer, listen, node, request, roster, target
+from .harness import (
+    HANG_TIMEOUT_S,
+    Peer,
+    RunningNode,
+    accept,
+    answer,
+    listen,
+    node,
+    request,
+    roster,
+    target,
+)
 
 
 def numbered(names: str, rows: list[Any]) -> pytest.MarkDecorator:
@@ -24,7 +35,7 @@
 
 
 @contextmanager
-def pair(tmp_path: Path, **over: Any) -> Iterator[tuple[Running, socket.socket]]:
+def pair(tmp_path: Path, **over: Any) -> Iterator[tuple[RunningNode, socket.socket]]:
     """A node before one backend."""
     with listen() as backend:
         known = roster(target("s-1", backend.getsockname()[1]))
@@ -79,7 +90,7 @@
         line, headers, _ = client.message()
         assert line.split(" ")[1] == str(status)
         assert headers["connection"] == "close"
-        assert client.ends() == b""
+        assert client.read_to_end() == b""
         backend.setblocking(False)
         with pytest.raises(BlockingIOError):
             backend.accept()
@@ -136,7 +147,7 @@
         client = n.connect()
         client.send(request(rid="a") + more)
         assert refused(client) == "400"
-        assert client.ends() == b""
+        assert client.read_to_end() == b""
         backend.setblocking(False)
         with pytest.raises(BlockingIOError):
             backend.accept()
@@ -151,7 +162,7 @@
         client.send(request(rid="b"))
         assert refused(client) == "400"
         peer.send(answer(b"for a"))
-        assert client.ends() == b""  # one answer, and nothing after it
+        assert client.read_to_end() == b""  # one answer, and nothing after it
 
 
 def test_the_id_of_another_request_is_not_taken_again(tmp_path: Path) -> None:
@@ -183,10 +194,10 @@
         body.send(request("/credit/1", b"", Content_Length="100") + b"x")
         asked.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         asked.message()
-        assert silent.ends() == b""
+        assert silent.read_to_end() == b""
         assert refused(head) == refused(body) == "408"
         assert time.monotonic() - began < 4.5  # 3 s are owed; some room for a busy machine
-        assert asked.ends() == b""  # kept for a while, but not for good
+        assert asked.read_to_end() == b""  # kept for a while, but not for good
         assert time.monotonic() - began > 2
 
 
@@ -202,7 +213,7 @@
             while sent < size:
                 sent += client.sock.send(block)
         assert sent < size // 2  # not all of it was read and thrown away
-        assert client.ends().startswith(b"HTTP/1.1 413")
+        assert client.read_to_end().startswith(b"HTTP/1.1 413")
         assert n.cpu_ms() - before < 500
         other = n.connect()
         other.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -224,7 +235,7 @@
         peer.message()
         peer.send(answer(b"served"))
         assert client.message()[2] == b"served"
-        assert client.ends() == b""
+        assert client.read_to_end() == b""
 
 
 def test_a_client_that_leaves_does_not_disturb_the_next(tmp_path: Path) -> None:
@@ -296,7 +307,7 @@
         with node(tmp_path, known) as n:
             client = n.connect()
             client.send(request("/credit/1", b"x"))
-            first = select.select([one, two], [], [], LIMIT)[0][0]
+            first = select.select([one, two], [], [], HANG_TIMEOUT_S)[0][0]
             peer = accept(first)
             peer.message()
             peer.send(answer(b"", "503 Busy", "X-Not-Processed: 1"))
@@ -338,7 +349,7 @@
         peer.message()
         peer.send(answer(b"for a") + answer(b"stray"))
         assert client.message()[2] == b"for a"
-        assert peer.ends() == b""
+        assert peer.read_to_end() == b""
         client.send(request(rid="b"))
         second = accept(backend)
         second.message()
@@ -353,7 +364,7 @@
         peer = accept(backend)
         peer.message()
         assert refused(client) == "502"
-        assert peer.ends() == b""  # closed: what it says now has nowhere to go
+        assert peer.read_to_end() == b""  # closed: what it says now has nowhere to go
         client.send(request(rid="b"))
         second = accept(backend)
         assert second.message()[1]["x-request-id"] == "b"
@@ -418,7 +429,7 @@
             assert peer.message()[1]["x-request-id"] == rid
             peer.send(reply[:-1] if reply.endswith(b"this") else reply)
             assert refused(client) == "502"
-            assert peer.ends() == b""  # given up, though it stays open at the other end
+            assert peer.read_to_end() == b""  # given up, though it stays open at the other end
         client.send(request(rid="d"))
         for body in (None, b"served"):
             peer = accept(backend)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -19,7 +19,7 @@
 from windrelay.upstream import BackendConnection, HttpConnectionPool
 
 from .harness import answer, request, roster, target
-from .inside import Inside, inside
+from .inside import InProcessNode, in_process_node
 
 
 class Fault(Exception):
@@ -117,24 +117,24 @@
     if not fresh and name in AT_A_DIAL:
         pytest.skip("comes up at a dial alone")
 
-    async def drive(one: Inside, port: int) -> None:
+    async def drive(one: InProcessNode, port: int) -> None:
         assert await ask(port, request("/credit/1", b"x")) == b"200"
         if fresh:
             assert one.node.upstream.close_oldest_idle()
         with monkeypatch.context() as patch:
             patch.setattr(owner, name, failing_once(getattr(owner, name)))
             status = await ask(port, request("/credit/1", b"x", timeout=300))
-        assert status in seen, (status, one.logged)
-        assert any("Fault" in line for line in one.logged), "it never raised"
-        assert one.node.crashes == 1
+        assert status in seen, (status, one.log_lines)
+        assert any("Fault" in line for line in one.log_lines), "it never raised"
+        assert one.node.unexpected_error_count == 1
         # Neither the outcomes' queue nor the timers stand still after it.
-        assert not one.node.inside
+        assert not one.node.in_event
         for _ in range(3):
             assert await ask(port, request("/credit/1", b"x")) == b"200"
-        await one.until(lambda: not one.node.requests and not one.node.open)
-        await one.until(lambda: not one.node.clients)
+        await one.wait_until(lambda: not one.node.requests and not one.node.open_request_count)
+        await one.wait_until(lambda: not one.node.client_count)
 
-    async def main(one: Inside, listener: asyncio.Server) -> None:
+    async def main(one: InProcessNode, listener: asyncio.Server) -> None:
         port = one.server.listen(one.config.listen)
         await drive(one, port)
         listener.close()
@@ -143,19 +143,19 @@
         return await asyncio.start_server(server, "127.0.0.1", 0)
 
     # The server lives on the node's own loop: one thread, one order of events.
-    with inside(tmp_path, roster(target("s-1", 1))) as one:
+    with in_process_node(tmp_path, roster(target("s-1", 1))) as one:
         listener = one.run(start_server())
         address = listener.sockets[0].getsockname()[1]
         rows = roster(target("s-1", int(address)), rev=2)
-        update, listings, endpoints, _ = one.node.discovery.roster.read(rows)
-        one.node.discovery.roster.apply(2, update, listings, endpoints)
+        update, listings, endpoints, _ = one.node.discovery.backend_list.parse(rows)
+        one.node.discovery.backend_list.apply(2, update, listings, endpoints)
         one.run(main(one, listener))
 
 
 def test_a_timer_that_raises_leaves_the_others_running(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    with inside(tmp_path, roster()) as one:
+    with in_process_node(tmp_path, roster()) as one:
         due: list[int] = []
 
         def on_timer(now: int, token: int) -> None:
@@ -168,17 +168,17 @@
         async def drive() -> None:
             now = time.monotonic_ns()
             for token in (91, 92):
-                one.node.later(now, token)
-            await one.until(lambda: due.count(91) >= 2 and 92 in due)
+                one.node.schedule(now, token)
+            await one.wait_until(lambda: due.count(91) >= 2 and 92 in due)
 
         one.run(drive())
-        assert one.node.crashes >= 1 and not one.node.inside
+        assert one.node.unexpected_error_count >= 1 and not one.node.in_event
 
 
 def test_an_attempt_that_raises_as_it_is_given_up_does_not_stop_the_clock(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    with inside(tmp_path, roster()) as one:
+    with in_process_node(tmp_path, roster()) as one:
 
         class Broken:
             def abandon(self) -> bool:
@@ -190,15 +190,15 @@
 
         async def drive() -> None:
             for a in attempts:
-                one.node.later(now, a)
-            await one.until(lambda: attempts[1].closed)
+                one.node.schedule(now, a)
+            await one.wait_until(lambda: attempts[1].concluded)
 
         one.run(drive())
-        assert one.node.crashes == 1
+        assert one.node.unexpected_error_count == 1
 
 
 def test_the_loops_last_word_is_counted_and_ends_the_connection(tmp_path: Path) -> None:
-    with inside(tmp_path, roster()) as one:
+    with in_process_node(tmp_path, roster()) as one:
 
         class Transport(asyncio.Transport):
             aborted = False
@@ -211,8 +211,8 @@
             {"message": "m", "exception": Fault("x"), "transport": transport}
         )
         one.loop.call_exception_handler({"message": "no exception"})
-        assert transport.aborted and one.node.crashes == 2
-        assert "Fault" in one.logged[-2] and "no exception" in one.logged[-1]
+        assert transport.aborted and one.node.unexpected_error_count == 2
+        assert "Fault" in one.log_lines[-2] and "no exception" in one.log_lines[-1]
 
 
 def test_what_raised_in_a_callback_ends_its_connection_on_uvloop_too(tmp_path: Path) -> None:
@@ -235,19 +235,19 @@
             await asyncio.sleep(0)
             assert transport.is_closing()
 
-    with inside(tmp_path, roster()) as one:
+    with in_process_node(tmp_path, roster()) as one:
         one.run(drive(one.loop))
-        assert one.node.crashes == 1
+        assert one.node.unexpected_error_count == 1
 
 
 def test_a_client_told_of_a_fault_gets_no_second_answer(tmp_path: Path) -> None:
     """What raised came after the request was taken: its own answer arrives all the same."""
-    with inside(tmp_path, roster()) as one:
+    with in_process_node(tmp_path, roster()) as one:
         port = one.server.listen(one.config.listen)
 
         async def drive() -> None:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            await one.until(lambda: one.server.connections)
+            await one.wait_until(lambda: one.server.connections)
             (conn,) = one.server.connections
             conn.close_on_error("a test", Fault("after it was taken"))
             conn.send_empty_response(503, 0)
@@ -256,4 +256,4 @@
             writer.close()
 
         one.run(drive())
-        assert one.node.crashes == 1
+        assert one.node.unexpected_error_count == 1
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,14 +7,13 @@
 import socket
 from pathlib import Path
 
-from windrelay.node import RESERVED
+from windrelay.node import RESERVED_DESCRIPTORS
 from windrelay.server import SOCKETS_PER_IDLE_CLIENT
 
 from .harness import (
-    LIMIT,
+    HANG_TIMEOUT_S,
     accept,
     answer,
-    caught,
     config,
     launch,
     listen,
@@ -22,7 +21,8 @@
     request,
     roster,
     target,
-    until,
+    wait_until,
+    wait_until_signal_handled,
 )
 
 
@@ -36,17 +36,17 @@
             for i, client in enumerate(clients):
                 client.send(request("/credit/1", body[:-1], rid=f"r{i}", Content_Length="65536"))
             socks = [client.sock for client in clients]
-            until(lambda: select.select(socks, [], [], 0)[0])  # one is refused already
+            wait_until(lambda: select.select(socks, [], [], 0)[0])  # one is refused already
             client = n.connect()
             client.send(request(rid="small"))
-            until(lambda: b"x-request-id: small" in seen(backend).lower())
+            wait_until(lambda: b"x-request-id: small" in seen(backend).lower())
             assert n.resident_mb("VmHWM") < 64
 
 
 def seen(backend: socket.socket) -> bytes:
     peer = accept(backend)
     while b"\r\n\r\n" not in peer.buffer:
-        peer.more()
+        peer.receive()
     return peer.buffer
 
 
@@ -79,17 +79,17 @@
                 client.message()
                 client.sock.shutdown(socket.SHUT_WR)
             for client in clients:
-                assert client.ends() == b""
+                assert client.read_to_end() == b""
                 client.close()
-            until(lambda: n.descriptors() < 30)  # of its own it has about 15
+            wait_until(lambda: n.descriptors() < 30)  # of its own it has about 15
 
 
 def test_a_term_during_start_up_is_a_stop_like_any_other(tmp_path: Path) -> None:
     process = launch(config(tmp_path, roster(), 1))
     assert process.stderr is not None
-    caught(process, signal.SIGTERM)
+    wait_until_signal_handled(process, signal.SIGTERM)
     process.send_signal(signal.SIGTERM)
-    assert process.wait(LIMIT) == 0
+    assert process.wait(HANG_TIMEOUT_S) == 0
     process.stderr.close()
 
 
@@ -101,7 +101,7 @@
         n.process.send_signal(signal.SIGTERM)
         line, _, _ = client.message()
         assert line.split(" ")[1] in ("502", "504")
-        assert n.process.wait(LIMIT) == 0
+        assert n.process.wait(HANG_TIMEOUT_S) == 0
 
 
 def test_a_stop_reads_what_lies_unread_and_closes_what_rests(tmp_path: Path) -> None:
@@ -115,11 +115,11 @@
         other.send(request("/credit/1", b"x", timeout=900))
         peer = accept(backend)
         peer.message()
-        assert kept.ends() == b""  # at rest: closed, while the other's answer is awaited
+        assert kept.read_to_end() == b""  # at rest: closed, while the other's answer is awaited
         assert n.process.poll() is None
         peer.send(answer(b"served"))
         assert other.message()[2] == b"served"
-        assert n.process.wait(LIMIT) == 0
+        assert n.process.wait(HANG_TIMEOUT_S) == 0
 
 
 def test_a_half_sent_request_does_not_hold_up_a_stop_for_good(tmp_path: Path) -> None:
@@ -128,7 +128,7 @@
         client.send(request()[:-10])
         n.process.send_signal(signal.SIGTERM)
         assert client.message()[0].split(" ")[1] == "408"
-        assert n.process.wait(LIMIT) == 0
+        assert n.process.wait(HANG_TIMEOUT_S) == 0
 
 
 def test_memory_comes_back_after_a_crowd(tmp_path: Path) -> None:
@@ -152,7 +152,7 @@
 
 def test_clients_that_ask_once_and_stay_do_not_fill_the_places(tmp_path: Path) -> None:
     """Past a part of the descriptors at rest an answer says close; one that is used stays."""
-    kept = -(-(120 - RESERVED) // SOCKETS_PER_IDLE_CLIENT)
+    kept = -(-(120 - RESERVED_DESCRIPTORS) // SOCKETS_PER_IDLE_CLIENT)
     with node(tmp_path, roster(), limits={"sockets": 120}) as n:
         probe = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
         told = []
@@ -165,7 +165,7 @@
             clients.append(client)
         assert told == [None] * kept + ["close"] * (2 * kept)
         for client in clients[kept:]:
-            assert client.ends() == b""
+            assert client.read_to_end() == b""
             client.close()
         clients[0].send(probe)
         assert "connection" not in clients[0].message()[1]
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -154,28 +154,31 @@
 
     def time_out(self) -> None:
         node = self.w.node
-        live = [a for r in node.requests.values() for a in r.attempts if not a.closed]
+        live = [a for r in node.requests.values() for a in r.attempts if not a.concluded]
         if live:
             a = self.rng.choice(live)
             assert a.request is not None
-            self.note(f"times out {a.request.name.decode()}")
-            node.enter()
+            self.note(f"times out {a.request.client_request_id.decode()}")
+            node.begin_event()
             try:
                 node.give_up(a, Outcome.TIMEOUT)
             finally:
-                node.leave()
+                node.end_event()
 
     def list_says(self) -> None:
         """A server drains, or is ready again."""
-        roster = self.w.node.discovery.roster
+        roster = self.w.node.discovery.backend_list
         row = roster.rows[self.rng.choice(sorted(roster.rows))]
         state = State.DRAINING if row.state == State.READY else State.READY
         self.note(f"the list says {row.backend % 1000} {state.name}")
         changed = row._replace(state=state)
         stale = roster.apply(
-            roster.rev + 1, Update.DELTA, [changed], {row.backend: roster.endpoints[row.backend]}
+            roster.revision + 1,
+            Update.DELTA,
+            [changed],
+            {row.backend: roster.endpoints[row.backend]},
         )
-        self.w.node.members_told(Update.DELTA, [changed], stale)
+        self.w.node.apply_member_update(Update.DELTA, [changed], stale)
 
     def noise(self) -> None:
         """Half a line from a server whose connection is at rest."""
@@ -206,13 +209,13 @@
     def watch_the_gone(self) -> None:
         """Whose client the node knows to be gone: nothing of them may arrive any more that was
         not on its way already."""
-        held = {r.name.decode(): r for r in self.w.node.requests.values()}
+        held = {r.client_request_id.decode(): r for r in self.w.node.requests.values()}
         self.known |= set(held)
         for asker in self.askers:
             r = held.get(asker.rid)
             if asker.left and asker.rid in self.known and (r is None or r.ended):
                 # What is out may still be on its way there.
-                on_its_way = 0 if r is None else r.live
+                on_its_way = 0 if r is None else r.unfinished_attempts
                 self.gone_at.setdefault(asker.rid, self.count(asker.rid) + on_its_way)
 
     def count(self, rid: str) -> int:
@@ -222,7 +225,7 @@
 
     async def check(self) -> None:
         node = self.w.node
-        assert not node.crashes, (self.order, self.w.one.logged)
+        assert not node.unexpected_error_count, (self.order, self.w.one.log_lines)
         for asker in self.askers:
             runs = [a for a in self.arrived if a.rid == asker.rid and not a.never_ran]
             if asker.path.startswith("/credit"):
@@ -249,7 +252,7 @@
                 await asyncio.sleep(0)
             self.watch_the_gone()
         for _ in range(5_000):
-            if not self.w.node.requests and len(self.askers) == self.w.node.last_id:
+            if not self.w.node.requests and len(self.askers) == self.w.node.last_request_id:
                 break
             await asyncio.sleep(0.001)
             if not self.w.node.balancer.ready or all(
@@ -333,12 +336,12 @@
                     if not a.over:
                         a.end.send(answer(BODY % a.rid.encode()))
                         a.over = True
-                if asker.left and not w.node.open and not story.outstanding():
+                if asker.left and not w.node.open_request_count and not story.outstanding():
                     break
                 if {"leave", "drain", "half-close"} >= {first, second}:
                     story.arrived[0].over = False
                     story.served("answer")
-            assert not w.node.open, story.order
+            assert not w.node.open_request_count, story.order
             await story.check()
             for task in (*tasks, *story.tasks):
                 task.cancel()
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -30,7 +30,7 @@
 from windrelay.discovery import backend_id
 
 from .fakes import MS, SECOND, UNSAFE, Host, build, rows
-from .harness import LIMIT, ROOT, Peer, answer, config, listen, request, roster, target
+from .harness import HANG_TIMEOUT_S, ROOT, Peer, answer, config, listen, request, roster, target
 
 WALL = 1_700_000_000 * SECOND  # of the first process's clock at 0
 LATER = 50 * SECOND  # of the second's: its own clock began elsewhere
@@ -228,19 +228,19 @@
             stderr=file,
         )
     try:
-        end = time.monotonic() + LIMIT
+        end = time.monotonic() + HANG_TIMEOUT_S
         while "listening on" not in log.read_text():
             assert process.poll() is None and time.monotonic() < end, log.read_text()
             time.sleep(0.01)
         yield int(log.read_text().split("listening on")[1].split()[0].rsplit(":", 1)[1]), log
     finally:
         process.send_signal(signal.SIGKILL if killed else signal.SIGTERM)
-        assert process.wait(LIMIT) == (-signal.SIGKILL if killed else 0)
+        assert process.wait(HANG_TIMEOUT_S) == (-signal.SIGKILL if killed else 0)
 
 
 def ask(port: int, count: int) -> int:
     served = 0
-    peer = Peer(socket.create_connection(("127.0.0.1", port), LIMIT))
+    peer = Peer(socket.create_connection(("127.0.0.1", port), HANG_TIMEOUT_S))
     for _ in range(count):
         peer.send(request("/balance/1", timeout=1500))
         served += peer.message()[0].split(" ")[1] == "200"
@@ -283,7 +283,7 @@
     dead, sound = Server(dead=True), [Server(dead=False) for _ in range(3)]
     known = roster(*(target(f"s-{i}", s.port) for i, s in enumerate([dead, *sound])))
     with node(tmp_path, known, tmp_path / "store", killed) as (port, log):
-        end = time.monotonic() + LIMIT
+        end = time.monotonic() + HANG_TIMEOUT_S
         while " out: " not in log.read_text():
             ask(port, 10)
             assert time.monotonic() < end
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -15,7 +15,7 @@
 
 from .harness import (
     SETTINGS,
-    Running,
+    RunningNode,
     accept,
     answer,
     config,
@@ -25,7 +25,7 @@
     roster,
     target,
 )
-from .inside import Inside, inside
+from .inside import InProcessNode, in_process_node
 
 BALANCE, CREDIT = SETTINGS["classes"]
 REFUND = CREDIT | {"name": "refund", "deadline": 1_500_000_000}
@@ -35,7 +35,7 @@
     return SETTINGS | {"classes": list(classes), "limits": SETTINGS["limits"] | limits}
 
 
-def told(n: Running, what: str) -> None:
+def told(n: RunningNode, what: str) -> None:
     """Read the node's log up to a line that says this."""
     assert n.process.stderr is not None
     while what not in (line := n.process.stderr.readline()):
@@ -169,7 +169,7 @@
 def test_fewer_attempts_bind_what_is_under_way(tmp_path: Path) -> None:
     with listen() as one, listen() as two:
         known = roster(*(target(f"s-{i}", s.getsockname()[1]) for i, s in enumerate((one, two))))
-        with inside(tmp_path, known) as i:
+        with in_process_node(tmp_path, known) as i:
             changed = reloaded(i, tmp_path, settings(BALANCE, CREDIT, max_attempts=1))
             assert changed.settings.max_attempts == 1
 
@@ -181,7 +181,7 @@
             assert i.node.config.settings.max_attempts == 1
 
 
-def reloaded(i: Inside, tmp_path: Path, new: dict[str, Any]) -> Any:
+def reloaded(i: InProcessNode, tmp_path: Path, new: dict[str, Any]) -> Any:
     file = tmp_path / "config.json"
     file.write_text(json.dumps(json.loads(file.read_text()) | {"settings": new}))
     return reload({"PROXY_CONFIG": str(file)}, i.config)[0]
@@ -201,20 +201,20 @@
 
 def test_servers_that_close_idle_connections_sooner_are_believed_at_once(tmp_path: Path) -> None:
     """The limit of the start stood for good: requests were written into closes."""
-    with inside(tmp_path, roster()) as one:
+    with in_process_node(tmp_path, roster()) as one:
         most = one.node.upstream.idle_timeout.max_timeout_ns
-        one.node.reload(replace(one.config, idle_close=4 * 1_000_000_000))
+        one.node.reload(replace(one.config, backend_idle_timeout=4 * 1_000_000_000))
         assert one.node.upstream.idle_timeout.max_timeout_ns == 2 * 1_000_000_000 < most
         learnt = one.node.upstream.idle_timeout
         learnt.timeout_ns = 5
-        one.node.reload(replace(one.config, idle_close=4 * 1_000_000_000))
+        one.node.reload(replace(one.config, backend_idle_timeout=4 * 1_000_000_000))
         assert one.node.upstream.idle_timeout is learnt and learnt.timeout_ns == 5
 
 
 def test_areas_of_other_names_turn_the_whole_file_down(tmp_path: Path) -> None:
     """The list's rows are read by the names of the start: each server would be in the first."""
-    with inside(tmp_path, roster()) as one:
+    with in_process_node(tmp_path, roster()) as one:
         before = one.node.balancer.settings
         with pytest.raises(ValueError, match="areas"):
-            one.node.reload(replace(one.config, zones=("a", "b"), max_open=1))
-        assert one.node.balancer.settings is before and one.node.config.max_open != 1
+            one.node.reload(replace(one.config, zones=("a", "b"), max_open_requests=1))
+        assert one.node.balancer.settings is before and one.node.config.max_open_requests != 1
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -20,7 +20,7 @@
 
 from .fakes import Host, rows
 from .harness import (
-    LIMIT,
+    HANG_TIMEOUT_S,
     SETTINGS,
     accept,
     answer,
@@ -144,7 +144,7 @@
     tmp_path: Path, change: dict[str, Any], says: str
 ) -> None:
     process = launch(config(tmp_path, roster(), 1, settings=change))
-    _, err = process.communicate(timeout=LIMIT)
+    _, err = process.communicate(timeout=HANG_TIMEOUT_S)
     assert process.returncode == 2
     assert says in err and len(err.splitlines()) == 1
 
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -21,10 +21,10 @@
 from windrelay import __main__ as main
 from windrelay.__main__ import KILL_S, TERM_MOST_S, Run
 from windrelay.config import Address, load
-from windrelay.succession import CLAIM_S, claim
+from windrelay.handover import CLAIM_S, claim
 from windrelay.upstream import BackendConnection
 
-from .harness import LIMIT, SETTINGS, answer, config, request, roster, target
+from .harness import HANG_TIMEOUT_S, SETTINGS, answer, config, request, roster, target
 from .race_harness import ScriptedPeer
 
 BALANCE, CREDIT = SETTINGS["classes"]
@@ -38,8 +38,8 @@
         self.loop = uvloop.new_event_loop()
         asyncio.set_event_loop(self.loop)
         self.run = Run(load(self.environ), self.loop)
-        self.logged: list[str] = []
-        self.run.node.log = self.logged.append  # type: ignore[method-assign, assignment]
+        self.log_lines: list[str] = []
+        self.run.node.log = self.log_lines.append  # type: ignore[method-assign, assignment]
         self.backend = backend
         self.ends: list[ScriptedPeer] = []
 
@@ -48,13 +48,13 @@
         self.port = self.run.server.listen(self.run.config.listen)
 
     def drive(self, story: Any) -> None:
-        self.loop.run_until_complete(asyncio.wait_for(story, LIMIT))
+        self.loop.run_until_complete(asyncio.wait_for(story, HANG_TIMEOUT_S))
 
-    async def until(self, condition: Any) -> None:
+    async def wait_until(self, condition: Any) -> None:
         while not condition():
             await asyncio.sleep(0.001)
 
-    async def turns(self, count: int = 20) -> None:
+    async def run_loop_turns(self, count: int = 20) -> None:
         for _ in range(count):
             await asyncio.sleep(0)
 
@@ -146,13 +146,13 @@
         async def story() -> None:
             whole = request("/credit/1", b"x")
             client = s.client(whole[:40])
-            await s.until(lambda: any(c._incoming for c in s.run.server.connections))
+            await s.wait_until(lambda: any(c._incoming for c in s.run.server.connections))
             s.run.stop()
             s.late()
             client.send(whole[40:])
             assert await client.status() == 503
             assert not s.run.node.upstream.descriptor_count and not s.run.node.requests
-            assert not s.run.node.budget.held
+            assert not s.run.node.budget.held_bytes
 
         s.drive(story())
 
@@ -168,13 +168,13 @@
 
         async def story() -> None:
             client = s.client(request("/credit/1", b"x"))
-            await s.until(lambda: made)
+            await s.wait_until(lambda: made)
             s.run.stop()
             s.late()
             assert await client.status() == 502
             server = await s.server()
             inner(*made[0])
-            await s.turns()
+            await s.run_loop_turns()
             made[0][0].transport.abort()
             assert await server.read_to_end() == b""
 
@@ -205,7 +205,7 @@
             if s.run.dropping is not None:
                 s.run.dropping.cancel()
                 s.run.drop(s.run.config)
-            assert not s.run.node.crashes
+            assert not s.run.node.unexpected_error_count
 
         s.drive(story())
 
@@ -222,7 +222,7 @@
             await server.message()
             server.send(answer(b"1"))
             assert (await client.message())[1].get("connection") is None
-            await s.until(lambda: s.run.server.idle)
+            await s.wait_until(lambda: s.run.server.idle)
             if when == "before":
                 client.send(request())  # it lies in the kernel, unread
                 s.run.stop()
@@ -234,7 +234,7 @@
             server.send(answer(b"2"))
             _, headers, body = await client.message()
             assert (body, headers["connection"]) == (b"2", "close")
-            await s.until(s.run.server.try_finish)
+            await s.wait_until(s.run.server.try_finish)
 
         s.drive(story())
 
@@ -256,7 +256,7 @@
                 sock = transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             server.send(answer(b"1"))
-            await s.until(lambda: not s.run.node.requests)
+            await s.wait_until(lambda: not s.run.node.requests)
 
         s.drive(story())
 
@@ -281,10 +281,10 @@
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as old:
         old.bind(path)
         old.listen(1)
-        monkeypatch.setattr("windrelay.succession.socket.socket", Line)
-        monkeypatch.setattr("windrelay.succession.socket.recv_fds", lambda *_: (b"L", [], 0, None))
-        monkeypatch.setattr("windrelay.succession.time.monotonic", lambda: clock[0])
-        monkeypatch.setattr("windrelay.succession.STATE_MOST", 6)  # or it would trickle for good
+        monkeypatch.setattr("windrelay.handover.socket.socket", Line)
+        monkeypatch.setattr("windrelay.handover.socket.recv_fds", lambda *_: (b"L", [], 0, None))
+        monkeypatch.setattr("windrelay.handover.time.monotonic", lambda: clock[0])
+        monkeypatch.setattr("windrelay.handover.STATE_MOST", 6)  # or it would trickle for good
         assert claim(path, Address("127.0.0.1", 0), lambda _text: None) is None
     assert waits[0] == CLAIM_S and max(waits[-2:]) < 0.2
     assert len(os.listdir(tmp_path)) == 1
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,10 +15,21 @@
 import pytest
 
 from windrelay.config import Address
-from windrelay.discovery import Roster
-from windrelay.succession import claim
-
-from .harness import LIMIT, Peer, accept, answer, config, launch, listen, request, roster, target
+from windrelay.discovery import BackendList
+from windrelay.handover import claim
+
+from .harness import (
+    HANG_TIMEOUT_S,
+    Peer,
+    accept,
+    answer,
+    config,
+    launch,
+    listen,
+    request,
+    roster,
+    target,
+)
 from .test_calls import call
 
 
@@ -47,7 +58,7 @@
             self.lines += self.process.stderr
 
     def connect(self) -> Peer:
-        return Peer(socket.create_connection(("127.0.0.1", self.port), LIMIT))
+        return Peer(socket.create_connection(("127.0.0.1", self.port), HANG_TIMEOUT_S))
 
     def descriptors(self) -> int:
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
@@ -84,7 +95,7 @@
         finally:
             for version in one.versions:
                 version.process.kill()
-                version.process.wait(LIMIT)
+                version.process.wait(HANG_TIMEOUT_S)
 
 
 def ask(peer: Peer) -> str:
@@ -104,7 +115,7 @@
         def knock() -> None:
             while not stop.is_set():
                 try:
-                    with socket.create_connection(("127.0.0.1", f.port), LIMIT) as sock:
+                    with socket.create_connection(("127.0.0.1", f.port), HANG_TIMEOUT_S) as sock:
                         status = ask(Peer(sock))
                     if status == "200":
                         good[0] += 1
@@ -119,7 +130,7 @@
             assert call(new.mgmt, "readyz\n") == "done\n"
             at = good[0]
             old.process.send_signal(signal.SIGTERM)
-            assert old.process.wait(LIMIT) == 0
+            assert old.process.wait(HANG_TIMEOUT_S) == 0
             while good[0] < at + 50 and not bad:
                 time.sleep(0.01)
             old = new
@@ -149,12 +160,12 @@
         peer.message()
         f.start()
         old.process.send_signal(signal.SIGTERM)
-        late = Peer(socket.create_connection(("127.0.0.1", f.port), LIMIT))
+        late = Peer(socket.create_connection(("127.0.0.1", f.port), HANG_TIMEOUT_S))
         assert ask(late) == "200"  # the new one's answer
         peer.send(answer(b"held"))
         line, headers, body = client.message()
         assert line.endswith("200 OK") and body == b"held" and headers["connection"] == "close"
-        assert old.process.wait(LIMIT) == 0
+        assert old.process.wait(HANG_TIMEOUT_S) == 0
 
 
 def test_bans_and_an_evacuation_hold_over_upgrades_until_they_are_called_back(
@@ -166,10 +177,10 @@
         assert call(first.mgmt, "evacuate\n") == "done\n"
         second = f.start()
         first.process.send_signal(signal.SIGTERM)
-        assert first.process.wait(LIMIT) == 0
+        assert first.process.wait(HANG_TIMEOUT_S) == 0
         third = f.start()
         second.process.send_signal(signal.SIGTERM)
-        assert second.process.wait(LIMIT) == 0
+        assert second.process.wait(HANG_TIMEOUT_S) == 0
         assert call(third.mgmt, "readyz\n") == "done\n"
         assert ask(third.connect()) == "503"
         assert call(third.mgmt, "activate\n") == "done\n"
@@ -216,12 +227,12 @@
         assert call(new.mgmt, "activate\n") == "done\n"
         peers[i].send(answer(b"x"))
         kept.message()
-        assert peers[i].ends() == b""  # the old one keeps nothing there
+        assert peers[i].read_to_end() == b""  # the old one keeps nothing there
         assert call(old.mgmt, f"include s-{i}\n") == "done\n"
         assert call(new.mgmt, f"exclude s-{1 - i}\n") == "done\n"
         client = new.connect()
         client.send(request())
-        socks[i].settimeout(LIMIT)
+        socks[i].settimeout(HANG_TIMEOUT_S)
         back = accept(socks[i])
         back.message()
 
@@ -232,11 +243,11 @@
         broken = f.start()
         assert ask(broken.connect()) == "200"
         broken.process.kill()
-        broken.process.wait(LIMIT)
+        broken.process.wait(HANG_TIMEOUT_S)
         assert ask(old.connect()) == "200"
         third = f.start()  # and the old one hands over again
         old.process.send_signal(signal.SIGTERM)
-        assert old.process.wait(LIMIT) == 0
+        assert old.process.wait(HANG_TIMEOUT_S) == 0
         assert ask(third.connect()) == "200"
 
 
@@ -247,7 +258,9 @@
         new = f.start()
         assert any("nothing taken over" in line for line in new.lines)
         old.process.kill()
-        old.process.wait(LIMIT)  # what the kernel dealt to it is reset: nothing else could be done
+        old.process.wait(
+            HANG_TIMEOUT_S
+        )  # what the kernel dealt to it is reset: nothing else could be done
         assert ask(new.connect()) == "200"
 
 
@@ -299,14 +312,14 @@
     from windrelay.config import load
 
     environ = config(tmp_path, roster(target("s-1", 8001, boot_ms=1_700_000_000_000)), 1)
-    one, other = Roster(load(environ)), Roster(load(environ))
+    one, other = BackendList(load(environ)), BackendList(load(environ))
     raw = json.loads(Path(environ["PROXY_CONFIG"]).read_text())["known"]
-    update, rows, endpoints, _ = one.read(raw)
+    update, rows, endpoints, _ = one.parse(raw)
     one.apply(7, update, rows, endpoints)
     assert other.adopt(json.loads(json.dumps(one.export()))) == rows
-    assert (other.rev, other.endpoints, other.seen) == (7, one.endpoints, one.seen)
+    assert (other.revision, other.endpoints, other.seen) == (7, one.endpoints, one.seen)
     # The same start read again is the same number: another would look like a restart.
-    assert other.read(raw)[1] == rows
+    assert other.parse(raw)[1] == rows
     with pytest.raises(ValueError):
         other.adopt({"zones": {"elsewhere": 0}})
     with pytest.raises(ValueError):
@@ -320,5 +333,5 @@
         old = f.start()
         new = f.start()
         old.process.send_signal(signal.SIGTERM)
-        assert old.process.wait(LIMIT) == 0
+        assert old.process.wait(HANG_TIMEOUT_S) == 0
         assert ask(new.connect()) == "200"
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -19,7 +19,7 @@
     HttpConnectionPool,
 )
 
-from .harness import LIMIT, accept, answer, listen, node, request, roster, target
+from .harness import HANG_TIMEOUT_S, accept, answer, listen, node, request, roster, target
 
 SECOND = 1_000_000_000
 
@@ -119,18 +119,18 @@
             learnt = time.monotonic() - idle_from
             client = clients[0]
             client.send(request("/credit/1", b"x", rid="c"))
-            server = select.select([one, two], [], [], LIMIT)[0][0]
+            server = select.select([one, two], [], [], HANG_TIMEOUT_S)[0][0]
             peer = accept(server)
             peer.message()
             peer.send(answer(b"2"))
             client.message()
             time.sleep(2 * learnt)
             client.send(request("/credit/1", b"x", rid="d"))
-            fresh = accept(select.select([one, two], [], [], LIMIT)[0][0])
+            fresh = accept(select.select([one, two], [], [], HANG_TIMEOUT_S)[0][0])
             assert fresh.message()[1]["x-request-id"] == "d"
             fresh.send(answer(b"3"))
             assert client.message()[2] == b"3"
-            assert peer.ends() == b""
+            assert peer.read_to_end() == b""
 
 
 class Idle:
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -25,11 +25,11 @@
 )
 from windrelay import discovery as windrelay_discovery
 from windrelay.config import Address
-from windrelay.discovery import Call
+from windrelay.discovery import RegistryCall
 
 from .fakes import MS, PURE, SECOND, Host
 from .harness import accept, answer, listen, node, port, request, roster, target
-from .inside import inside
+from .inside import in_process_node
 
 ANSWER_S = 0.25  # for a call to a service that can be reached and is not crowded
 INSTANT_S = 0.01  # a refusal, a reset, an answer that can't be used
@@ -181,16 +181,19 @@
 
 def test_a_silent_agent_is_asked_anew_within_the_grace_for_drains(tmp_path: Path) -> None:
     """The bound is on the times that the node goes by; the process shows that it asks anew."""
-    with inside(tmp_path, roster(), settings=PUSHED) as one:
+    with in_process_node(tmp_path, roster(), settings=PUSHED) as one:
         grace_s = one.config.settings.drain_grace / SECOND
-        assert one.node.discovery._watch.next_poll(1, service_behind=False).timeout_s <= grace_s / 2
-        assert one.node.discovery._watch.delay_after_failure(timed_out=True) == 0.0
-        assert one.node.discovery._watch.delay_after_failure(timed_out=True) <= grace_s / 4  # type: ignore[operator]
+        assert (
+            one.node.discovery._watch_state.next_poll(1, service_behind=False).timeout_s
+            <= grace_s / 2
+        )
+        assert one.node.discovery._watch_state.delay_after_failure(timed_out=True) == 0.0
+        assert one.node.discovery._watch_state.delay_after_failure(timed_out=True) <= grace_s / 4  # type: ignore[operator]
     with listen() as agent, node(tmp_path, roster(), port(agent), settings=PUSHED):
         for _ in range(4):  # each of them silent
             peer = accept(agent)
             peer.message()
-            assert peer.ends() == b""
+            assert peer.read_to_end() == b""
 
 
 def test_a_dial_that_never_comes_up_does_not_use_up_the_answers_time(
@@ -198,7 +201,7 @@
 ) -> None:
     """A machine that is cut off answers no SYN: that is known long before a watch would end."""
     monkeypatch.setattr(windrelay_discovery, "CONNECT_TIMEOUT_S", 0.05)
-    with socket.socket() as full, inside(tmp_path, roster()) as one:
+    with socket.socket() as full, in_process_node(tmp_path, roster()) as one:
         full.bind(("127.0.0.1", 0))
         full.listen(0)
         held = []
@@ -210,8 +213,10 @@
 
         async def story() -> None:
             address = Address("127.0.0.1", port(full))
-            call = Call(address, "/", 1000.0, lambda body: ended.append((body, call.hung)))
-            await one.until(lambda: ended)
+            call = RegistryCall(
+                address, "/", 1000.0, lambda body: ended.append((body, call.timed_out))
+            )
+            await one.wait_until(lambda: ended)
 
         one.run(story())
         assert ended == [(None, True)]
@@ -220,20 +225,20 @@
 
 
 def test_the_time_for_an_answer_counts_from_the_connection_on(tmp_path: Path) -> None:
-    with listen() as service, inside(tmp_path, roster()) as one:
+    with listen() as service, in_process_node(tmp_path, roster()) as one:
         ended: list[object] = []
 
         async def story() -> None:
-            call = Call(Address("127.0.0.1", port(service)), "/", 1000.0, ended.append)
-            first = call._handle.when()
-            await one.until(lambda: call.asked_at)
+            call = RegistryCall(Address("127.0.0.1", port(service)), "/", 1000.0, ended.append)
+            first = call._timeout_handle.when()
+            await one.wait_until(lambda: call.sent_at)
             assert (
                 first - one.loop.time()
                 < CONNECT_TIMEOUT_S
                 < 900
-                < call._handle.when() - one.loop.time()
+                < call._timeout_handle.when() - one.loop.time()
             )
-            call.drop()
+            call.abort()
             await asyncio.sleep(0)
 
         one.run(story())
--- a/tests/world.py
+++ b/tests/world.py
@@ -33,7 +33,7 @@
     def caller(self, name: str, **over: Any) -> Caller:
         return Caller(name, self.node.port, self.ledger, Random(self.rng.random()), **over)
 
-    async def crowd(
+    async def run_callers(
         self, count: int, asks: int, manners: dict[Manner, float] | None = None, **over: Any
     ) -> None:
         """So many callers at once, each with so many requests in turn."""
@@ -48,11 +48,11 @@
 
         await asyncio.gather(*(go(caller) for caller in callers))
 
-    async def settles(self) -> bool:
+    async def releases_descriptors(self) -> bool:
         """Whether the node gives back every descriptor; waits for what only it can do."""
-        return await self.comes(lambda: self.node.descriptors() <= AT_REST)
+        return await self.becomes_true(lambda: self.node.descriptors() <= AT_REST)
 
-    async def comes(self, condition: Callable[[], bool], seconds: float = 15.0) -> bool:
+    async def becomes_true(self, condition: Callable[[], bool], seconds: float = 15.0) -> bool:
         for _ in range(int(seconds / 0.02)):
             if condition():
                 return True
--- a/windrelay/__main__.py
+++ b/windrelay/__main__.py
@@ -27,12 +27,12 @@
 
 import uvloop  # noqa: E402
 
-from windrelay import succession  # noqa: E402
+from windrelay import handover  # noqa: E402
 from windrelay.config import Config, ConfigError, load, reload  # noqa: E402
+from windrelay.controls import Operated  # noqa: E402
 from windrelay.discovery import ListError  # noqa: E402
 from windrelay.http_node import HttpNode  # noqa: E402
 from windrelay.management import Desk  # noqa: E402
-from windrelay.operate import Operated  # noqa: E402
 from windrelay.server import SWEEP_INTERVAL_S, Server  # noqa: E402
 
 # A stop. Connections go on coming for 0.4 s; the longest deadline, 3 s of it at the most, and
@@ -62,11 +62,11 @@
         self.dropping: asyncio.TimerHandle | None = None
         self.known_classes = config.settings.classes
         self.operated = Operated(self.node, self.server)
-        self.desk = Desk(loop, self.operated, self.node.crashed)
+        self.desk = Desk(loop, self.operated, self.node.record_error)
 
     async def run(self) -> None:
-        path = succession.place(os.environ, self.config)
-        estate = path and succession.claim(path, self.config.listen, self.node.log)
+        path = handover.place(os.environ, self.config)
+        estate = path and handover.claim(path, self.config.listen, self.node.log)
         if estate:
             self.operated.inherit(estate.state)
         self.node.start()
--- a/windrelay/config.py
+++ b/windrelay/config.py
@@ -37,14 +37,14 @@
     discovery: Address
     seed: int
     memory_mb: int
-    sockets: int
-    known: dict[str, Any]
+    max_descriptors: int
+    initial_list: dict[str, Any]
     settings: Settings
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    idle_close: int
-    max_open: int
-    reports: bool
+    backend_idle_timeout: int
+    max_open_requests: int
+    load_reports_enabled: bool
     raw: dict[str, Any]  # the file's words but for the list of backends; for the next reload
     mgmt: Address | None = None  # where the operators' calls come
 
@@ -73,7 +73,12 @@
     _compare(new.raw, old.raw, "")
     kept = [key for key in ("name", "listen", "mgmt") if getattr(new, key) != getattr(old, key)]
     config = replace(
-        new, name=old.name, listen=old.listen, mgmt=old.mgmt, seed=old.seed, known=old.known
+        new,
+        name=old.name,
+        listen=old.listen,
+        mgmt=old.mgmt,
+        seed=old.seed,
+        initial_list=old.initial_list,
     )
     return config, kept
 
@@ -146,21 +151,21 @@
     limits = raw.child("limits")
     settings = raw.child("settings", required=True)
     theirs = settings.child("limits")
-    known = raw.raw.get("known") or {"rev": 0, "all": True, "targets": []}
+    initial_list = raw.raw.get("known") or {"rev": 0, "all": True, "targets": []}
     return Config(
         name=raw.string("name"),
         listen=_address(raw, "listen"),
         discovery=_address(raw, "discovery"),
         seed=_seed(raw),
         memory_mb=limits.integer("memory_mb", DEFAULT_MEMORY_MB, minimum=1),
-        sockets=limits.integer("sockets", DEFAULT_SOCKETS, minimum=MIN_SOCKETS),
-        known=dict(SettingsObject(known, "known").raw),
+        max_descriptors=limits.integer("sockets", DEFAULT_SOCKETS, minimum=MIN_SOCKETS),
+        initial_list=dict(SettingsObject(initial_list, "known").raw),
         settings=settings_from_json(json.dumps(settings.raw).encode()),
         zones=settings.strings("areas"),
         kinds=settings.strings("skus"),
-        idle_close=theirs.integer("idle_close", 15_000_000_000),
-        max_open=theirs.integer("open_cap", 20_000, minimum=1),
-        reports=settings.child("load_info").string("how", "off") != "off",
+        backend_idle_timeout=theirs.integer("idle_close", 15_000_000_000),
+        max_open_requests=theirs.integer("open_cap", 20_000, minimum=1),
+        load_reports_enabled=settings.child("load_info").string("how", "off") != "off",
         raw=words,
         mgmt=_address(raw, "mgmt") if raw.raw.get("mgmt") else None,
     )
--- a/windrelay/operate.py
+++ b/windrelay/controls.py
@@ -13,11 +13,11 @@
 from flinthatch import Balancer, Listing
 from flinthatch.learned_state import export_learned_state, restore_learned_state
 from windrelay.discovery import backend_id
+from windrelay.handover import Estate, Line, Waiting
 from windrelay.http_node import HttpNode
 from windrelay.management import CallError
-from windrelay.node import RESERVED, RESERVED_MGMT
+from windrelay.node import RESERVED_DESCRIPTORS, RESERVED_MGMT
 from windrelay.server import Server
-from windrelay.succession import Estate, Line, Waiting
 
 SLACK = 8  # descriptors that a process in its last seconds may still open
 
@@ -59,7 +59,7 @@
 
     def _listed(self, uid: str) -> int:
         backend = backend_id(uid)
-        if backend not in self.node.discovery.roster.seen:
+        if backend not in self.node.discovery.backend_list.seen:
             raise CallError(f"no backend of this id was ever listed: {uid[:80]}")
         return backend
 
@@ -89,14 +89,16 @@
             raise OSError("it stops")
         node = self.node
         now = time.monotonic_ns()
-        roster = node.discovery.roster
+        backend_list = node.discovery.backend_list
         return listener, {
             "format": 1,
             "held": self._held(),
             "bans": list(node.balancer.banned),
             "evacuated": self.server.evacuated,
-            "list": roster.export(),
-            "learnt": export_learned_state(node.balancer, now, now + roster.clock),
+            "list": backend_list.export(),
+            "learnt": export_learned_state(
+                node.balancer, now, now + backend_list.wall_clock_offset_ns
+            ),
         }
 
     def inherit(self, state: dict[str, Any]) -> None:
@@ -112,17 +114,17 @@
 
         def known() -> list[Listing]:
             try:
-                return node.discovery.roster.adopt(state.get("list"))
+                return node.discovery.backend_list.adopt(state.get("list"))
             except ValueError as err:
                 node.log(f"the list of the running process is not used: {err}")
-                return node.discovery.load_known_list(node.config.known)
+                return node.discovery.load_known_list(node.config.initial_list)
 
         def recall(balancer: Balancer, now: int) -> None:
-            clock = node.discovery.roster.clock
+            clock = node.discovery.backend_list.wall_clock_offset_ns
             restore_learned_state(balancer, now, now + clock, state.get("learnt"))
 
         node.known = known  # type: ignore[method-assign]
-        node.recall = recall
+        node.restore_state = recall
 
     async def succeed(self, path: str, estate: Estate | None) -> None:
         """Take the place of whoever handed over, if anyone did; then wait for a successor."""
@@ -172,7 +174,13 @@
 
     def _held(self) -> int:
         node = self.node
-        return node.clients + node.upstream.descriptor_count + RESERVED + RESERVED_MGMT + SLACK
+        return (
+            node.client_count
+            + node.upstream.descriptor_count
+            + RESERVED_DESCRIPTORS
+            + RESERVED_MGMT
+            + SLACK
+        )
 
     def _shares(self, held: object) -> None:
         if isinstance(held, int):
@@ -182,7 +190,7 @@
         """Hold no more than now, and let the successor have the rest."""
         node = self.node
         node.share(1)  # that there is another counts for the bytes; descriptors are as follows
-        node.sockets = node.clients + node.upstream.descriptor_count + SLACK
+        node.max_connections = node.client_count + node.upstream.descriptor_count + SLACK
         if self.line is not None:
             self.line.tell({"held": self._held()})
 
--- a/windrelay/discovery.py
+++ b/windrelay/discovery.py
@@ -21,7 +21,7 @@
 )
 from windrelay.config import Address, Config, parse_address
 
-MAX_ANSWER = 2 << 20  # some thousands of backends
+MAX_ANSWER_BYTES = 2 << 20  # some thousands of backends
 OLD_TRIES = 3  # answers older than ours in a row before they are taken for the truth
 SEEN = 8192  # ids ever listed that are remembered, so that a call can tell one that never was
 FUTURE = 60_000_000_000  # a start further ahead than clocks differ is no start
@@ -37,10 +37,18 @@
     return int.from_bytes(blake2b(uid.encode(), digest_size=8).digest(), "big")
 
 
-class Roster:
+class BackendList:
     """The list in hand: its version, its rows, the endpoints, and who wants nothing new."""
 
-    __slots__ = ("_kinds", "_zones", "clock", "endpoints", "rev", "rows", "seen")
+    __slots__ = (
+        "_kinds",
+        "_zones",
+        "wall_clock_offset_ns",
+        "endpoints",
+        "revision",
+        "rows",
+        "seen",
+    )
 
     def __init__(self, config: Config) -> None:
         self._zones = {name: i for i, name in enumerate(config.zones)}
@@ -48,18 +56,18 @@
         # boot_ms is wall clock. With one difference for good, the same start is the
         # same number in every list; taken anew each time it would look like a restart.
         # A wall clock set anew later makes starts look older or younger by the step.
-        self.clock = time.time_ns() - time.monotonic_ns()
+        self.wall_clock_offset_ns = time.time_ns() - time.monotonic_ns()
         self.endpoints: dict[int, Address] = {}
         self.rows: dict[int, Listing] = {}
-        self.rev = 0
+        self.revision = 0
         self.seen: dict[int, None] = {}  # all that were ever listed, the latest last
 
-    def name_zones(self, names: Iterable[str]) -> None:
+    def add_zones(self, names: Iterable[str]) -> None:
         """Number further zones behind those that are known; rows read from here on use them."""
         for name in names:
             self._zones.setdefault(name, len(self._zones))
 
-    def read(self, raw: Any) -> tuple[Update, list[Listing], dict[int, Address], int]:
+    def parse(self, raw: Any) -> tuple[Update, list[Listing], dict[int, Address], int]:
         """Check an answer and convert it; nothing in hand changes yet.
 
         A row that can't be read must not void the others, drains among them: its
@@ -68,8 +76,12 @@
         word of a drain: nothing can be done about that one.
         """
         try:
-            rev, whole, targets = raw["rev"], raw["all"], raw["targets"]
-            if type(rev) is not int or not isinstance(whole, bool) or not isinstance(targets, list):
+            revision, whole, targets = raw["rev"], raw["all"], raw["targets"]
+            if (
+                type(revision) is not int
+                or not isinstance(whole, bool)
+                or not isinstance(targets, list)
+            ):
                 raise ListError("rev, all or targets is of the wrong type")
         except (KeyError, TypeError) as err:
             raise ListError(f"{type(err).__name__}: {err}") from None
@@ -114,11 +126,11 @@
     def _boot(self, boot_ms: int) -> int:
         if boot_ms <= 0:
             return 0
-        boot = boot_ms * 1_000_000 - self.clock
+        boot = boot_ms * 1_000_000 - self.wall_clock_offset_ns
         return 0 if boot > time.monotonic_ns() + FUTURE else max(boot, 1)
 
     def apply(
-        self, rev: int, update: Update, rows: list[Listing], endpoints: dict[int, Address]
+        self, revision: int, update: Update, rows: list[Listing], endpoints: dict[int, Address]
     ) -> list[int]:
         """Take a list over; returns the backends whose connections are of no more use."""
         stale = []
@@ -138,7 +150,7 @@
             for backend in [b for b in self.endpoints if b not in named]:
                 stale.append(backend)
                 self._drop(backend)
-        self.rev = rev
+        self.revision = revision
         return stale
 
     def see(self, backend: int) -> None:
@@ -152,8 +164,8 @@
         return {
             "zones": self._zones,
             "kinds": self._kinds,
-            "clock": self.clock,
-            "rev": self.rev,
+            "clock": self.wall_clock_offset_ns,
+            "rev": self.revision,
             "rows": [[*row, *self.endpoints[row.backend]] for row in self.rows.values()],
             "seen": list(self.seen),
         }
@@ -165,20 +177,24 @@
                 raise ValueError("its zones or kinds are others")
             rows = [Listing(b, State(s), *rest) for b, s, *rest, _, _ in record["rows"]]
             endpoints = {row[0]: Address(str(row[-2]), int(row[-1])) for row in record["rows"]}
-            seen, rev, clock = [int(b) for b in record["seen"]], int(record["rev"]), record["clock"]
+            seen, revision, wall_clock_offset_ns = (
+                [int(b) for b in record["seen"]],
+                int(record["rev"]),
+                record["clock"],
+            )
         except (KeyError, TypeError, IndexError) as err:
             raise ValueError(f"{type(err).__name__}: {err}") from None
-        self.clock = int(clock)
+        self.wall_clock_offset_ns = int(wall_clock_offset_ns)
         for backend in seen:
             self.see(backend)
-        self.apply(rev, Update.FULL, rows, endpoints)
+        self.apply(revision, Update.FULL, rows, endpoints)
         return rows
 
     def _drop(self, backend: int) -> None:
         self.endpoints.pop(backend, None)
         self.rows.pop(backend, None)
 
-    def taken_over(self, rows: list[Listing], endpoints: dict[int, Address]) -> list[Listing]:
+    def find_displaced(self, rows: list[Listing], endpoints: dict[int, Address]) -> list[Listing]:
         """Backends of other ids at the addresses of these rows: they have gone.
 
         One process listens at an address. Where a new id is ready at one that an
@@ -193,7 +209,7 @@
             if b not in named and address in new
         ]
 
-    def ready(self, backend: int, address: Address) -> bool:
+    def is_ready(self, backend: int, address: Address) -> bool:
         """Whether a connection to this address may carry something new for the backend."""
         row = self.rows.get(backend)
         return (
@@ -201,12 +217,12 @@
         )
 
 
-class Call(asyncio.Protocol):
+class RegistryCall(asyncio.Protocol):
     """One GET on a connection of its own; `done` gets the body, or None, once."""
 
     __slots__ = (
-        "_body", "_done", "_handle", "_head", "_parser", "_size", "_task", "_transport", "_wait",
-        "asked_at", "hung",
+        "_body", "_done", "_head", "_parser", "_size", "_task", "_timeout_handle", "_transport",
+        "_wait", "sent_at", "timed_out",
     )  # fmt: skip
 
     def __init__(self, address: Address, target: str, wait: float, done: Callable[..., None]):
@@ -218,9 +234,9 @@
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
         self._wait = wait  # seconds from the connection's making on
-        self.asked_at = 0.0  # by the loop's clock, 0 for as long as there is no connection
-        self.hung = False  # ended because nothing came in time
-        self._handle = loop.call_later(min(CONNECT_TIMEOUT_S, wait), self._expired)
+        self.sent_at = 0.0  # by the loop's clock, 0 for as long as there is no connection
+        self.timed_out = False  # ended because nothing came in time
+        self._timeout_handle = loop.call_later(min(CONNECT_TIMEOUT_S, wait), self._expired)
         self._task = loop.create_task(self._connect(address))
 
     async def _connect(self, address: Address) -> None:
@@ -231,7 +247,7 @@
             self.end(None)
 
     def _expired(self) -> None:
-        self.hung = True
+        self.timed_out = True
         self.end(None)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -240,9 +256,9 @@
             self._transport.abort()
             return
         loop = asyncio.get_running_loop()
-        self.asked_at = loop.time()
-        self._handle.cancel()
-        self._handle = loop.call_later(self._wait, self._expired)
+        self.sent_at = loop.time()
+        self._timeout_handle.cancel()
+        self._timeout_handle = loop.call_later(self._wait, self._expired)
         self._transport.write(self._head.encode())
 
     def data_received(self, data: bytes) -> None:
@@ -250,7 +266,7 @@
             return
         # All bytes count, not the body's alone: a head without end would be held too.
         self._size += len(data)
-        if self._size > MAX_ANSWER:
+        if self._size > MAX_ANSWER_BYTES:
             self.end(None)
             return
         try:
@@ -276,15 +292,15 @@
         done = self._done
         if done is None:
             return
-        self.drop()
+        self.abort()
         done(body)
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Let go of the connection and tell nobody."""
         self._done = None
         self._parser = None
         self._body = []
-        self._handle.cancel()
+        self._timeout_handle.cancel()
         if self._transport is not None:
             self._transport.abort()
         else:
@@ -295,8 +311,8 @@
     """Carries out watch and fetch; `told` gets each update and what it made stale."""
 
     __slots__ = (
-        "_address", "_calls", "_old", "_retry", "_rev", "_told", "_watch", "_watching", "log",
-        "roster",
+        "_address", "_calls", "_old", "_retry", "_rev", "_told", "_watch_state", "_watching",
+        "backend_list", "log",
     )  # fmt: skip
 
     def __init__(
@@ -310,30 +326,30 @@
         self._old = 0
         self._watching = False
         grace_ms = config.settings.drain_grace // 1_000_000
-        self._watch = PollSchedule(
+        self._watch_state = PollSchedule(
             0 if config.settings.ask else max(grace_ms // 4, MIN_AGENT_HOLD_MS)
         )
         self._rev = 0  # in hand as the watch's last call was made
         self._retry: asyncio.TimerHandle | None = None
-        self._calls: set[Call] = set()
+        self._calls: set[RegistryCall] = set()
         self.log = log
-        self.roster = Roster(config)
+        self.backend_list = BackendList(config)
 
     def load_known_list(self, raw: Any) -> list[Listing]:
         """The list from the configuration."""
-        update, rows, endpoints, bad = self.roster.read(raw)
+        update, rows, endpoints, bad = self.backend_list.parse(raw)
         if bad:
             self.log(f"{bad} rows of the known list can't be read")
-        self.roster.apply(raw["rev"], update, rows, endpoints)
+        self.backend_list.apply(raw["rev"], update, rows, endpoints)
         return rows
 
-    def tell(self, raw: Any) -> None:
+    def apply_list(self, raw: Any) -> None:
         """Take a whole list from whoever hosts the node; ListError where it can't be used."""
-        update, rows, endpoints, bad = self.roster.read(raw)
+        update, rows, endpoints, bad = self.backend_list.parse(raw)
         if bad:
             self.log(f"{bad} rows of a list can't be read")
-        rows += self.roster.taken_over(rows, endpoints)
-        stale = self.roster.apply(raw["rev"], update, rows, endpoints)
+        rows += self.backend_list.find_displaced(rows, endpoints)
+        stale = self.backend_list.apply(raw["rev"], update, rows, endpoints)
         self._told(update, rows, stale)
 
     def watch(self) -> None:
@@ -359,7 +375,7 @@
             return
         self._address = address
         self._drop_calls()
-        self._watch.restart()
+        self._watch_state.restart()
         self._old = 0
         self._watching = True
         self._next_watch()
@@ -374,36 +390,40 @@
             self._retry.cancel()
             self._retry = None
         for call in self._calls:
-            call.drop()
+            call.abort()
         self._calls.clear()
 
-    def _call(self, target: str, wait: float, done: Callable[[Call, bytes | None], None]) -> None:
+    def _call(
+        self, target: str, wait: float, done: Callable[[RegistryCall, bytes | None], None]
+    ) -> None:
         def ended(body: bytes | None) -> None:
             self._calls.discard(call)
             done(call, body)
 
-        call = Call(self._address, target, wait, ended)
+        call = RegistryCall(self._address, target, wait, ended)
         self._calls.add(call)
 
     def _next_watch(self) -> None:
         self._retry = None
-        self._rev = self.roster.rev
-        ask = self._watch.next_poll(self._rev, service_behind=self._old > 0)
+        self._rev = self.backend_list.revision
+        ask = self._watch_state.next_poll(self._rev, service_behind=self._old > 0)
         target = "/registry/instances"
         if ask.hold_ms is not None:
             target += f"?from={ask.since}&hold_ms={ask.hold_ms}"
         self._call(target, ask.timeout_s, self._watched)
 
-    def _watched(self, call: Call, body: bytes | None) -> None:
+    def _watched(self, call: RegistryCall, body: bytes | None) -> None:
         if not self._watching:
             return
-        after = self._watch.delay_after_failure(call.hung) if body is None else None
-        if after is None or self._watch.agent_hold_ms:
+        after = self._watch_state.delay_after_failure(call.timed_out) if body is None else None
+        if after is None or self._watch_state.agent_hold_ms:
             if self._take(body):
-                lasted = asyncio.get_running_loop().time() - call.asked_at
-                after = self._watch.delay_after_answer(lasted, self.roster.rev != self._rev)
+                lasted = asyncio.get_running_loop().time() - call.sent_at
+                after = self._watch_state.delay_after_answer(
+                    lasted, self.backend_list.revision != self._rev
+                )
             elif body is not None:
-                after = self._watch.delay_after_invalid_answer()
+                after = self._watch_state.delay_after_invalid_answer()
         if after is None:
             self._watching = False
         elif after > 0:
@@ -411,27 +431,27 @@
         else:
             self._next_watch()
 
-    def _fetched(self, _call: Call, body: bytes | None) -> None:
+    def _fetched(self, _call: RegistryCall, body: bytes | None) -> None:
         self._take(body)
 
     def _take(self, body: bytes | None) -> bool:
         """Pass on an answer; False where it failed and the list in hand stays."""
-        roster = self.roster
+        backend_list = self.backend_list
         try:
             raw = None if body is None else json.loads(body)
             if raw is None:
                 raise ListError("the call failed")
-            update, rows, endpoints, bad = roster.read(raw)
-            rev = raw["rev"]
-            if self._watch.address_changed:
+            update, rows, endpoints, bad = backend_list.parse(raw)
+            revision = raw["rev"]
+            if self._watch_state.address_changed:
                 if update != Update.FULL:
                     raise ListError("the first list of a new service is not whole")
-            elif rev < roster.rev:
+            elif revision < backend_list.revision:
                 # A replica that lags must not bring back what has left. One that
                 # says the same again and again has lost its count: then it is right.
                 self._old += 1
                 if self._old < OLD_TRIES or update != Update.FULL:
-                    raise ListError(f"version {rev} is older than {roster.rev}")
+                    raise ListError(f"version {revision} is older than {backend_list.revision}")
         except (ListError, ValueError, RecursionError) as err:
             if body is not None:
                 self.log(f"discovery answer not used: {err}")
@@ -440,8 +460,8 @@
         if bad:
             self.log(f"{bad} rows of a discovery answer can't be read")
         self._old = 0
-        self._watch.address_changed = False
-        rows += roster.taken_over(rows, endpoints)
-        stale = roster.apply(rev, update, rows, endpoints)
+        self._watch_state.address_changed = False
+        rows += backend_list.find_displaced(rows, endpoints)
+        stale = backend_list.apply(revision, update, rows, endpoints)
         self._told(update, rows, stale)
         return True
--- a/windrelay/http_node.py
+++ b/windrelay/http_node.py
@@ -18,10 +18,10 @@
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config, loop)
-        self.discovery = Discovery(config, self.members_told, self.log)
+        self.discovery = Discovery(config, self.apply_member_update, self.log)
         self.upstream = HttpConnectionPool(self)
 
     def reload(self, config: Config) -> dict[str, int]:
         numbers = super().reload(config)
-        self.upstream.set_backend_idle_timeout(config.idle_close)
+        self.upstream.set_backend_idle_timeout(config.backend_idle_timeout)
         return numbers
--- a/windrelay/node.py
+++ b/windrelay/node.py
@@ -30,7 +30,7 @@
 REARM = 100 * MS  # a timer whose event raised comes again after this long
 NO_TIMER = 1 << 63
 LOG_LINES = 20  # a second
-RESERVED = 24  # descriptors for the listener, the loop, discovery and the log
+RESERVED_DESCRIPTORS = 24  # descriptors for the listener, the loop, discovery and the log
 RESERVED_MGMT = 10  # besides, for calls and for a successor, where calls are taken
 LEAST_SOCKETS = 16  # for clients and servers, however much another process holds
 OVERLAP = 8  # of them, for connections that replace one just given up
@@ -49,54 +49,56 @@
         return BASE_MB << 20
 
 
-class Budget:
+class MemoryBudget:
     """Bytes of bodies and answers held, over all connections.
 
     Bodies are taken in while they fit; half of what the limit leaves is for them and
     for answers, the rest for connections and what the allocator does not give back.
     """
 
-    __slots__ = ("base", "held", "room")
+    __slots__ = ("base", "held_bytes", "limit_bytes")
 
     def __init__(self, memory_mb: int) -> None:
         self.base = base_bytes()
-        self.held = 0
+        self.held_bytes = 0
         self.resize(memory_mb)
 
     def resize(self, memory_mb: int, processes: int = 1) -> None:
         """Take this node's part of a limit that so many processes like it share."""
-        self.room = max(((memory_mb << 20) // processes - self.base) // 2, LEAST_ROOM)
+        self.limit_bytes = max(((memory_mb << 20) // processes - self.base) // 2, LEAST_ROOM)
 
-    def limit(self, room: int) -> None:
+    def set_limit(self, limit_bytes: int) -> None:
         """So many bytes, whatever the process takes: where several nodes share one."""
-        self.room = room
+        self.limit_bytes = limit_bytes
 
     def has_room(self, size: int) -> bool:
-        return self.held + size <= self.room
+        return self.held_bytes + size <= self.limit_bytes
 
-    def take(self, size: int) -> None:
-        self.held += size
+    def reserve(self, size: int) -> None:
+        self.held_bytes += size
 
-    def give(self, size: int) -> None:
-        self.held -= size
+    def release(self, size: int) -> None:
+        self.held_bytes -= size
 
 
 class Request:
     __slots__ = (
-        "arrived", "asked", "attempts", "begun", "client", "deadline", "ended", "id", "live",
-        "name", "reserved",
+        "arrived_at", "attempts", "begun", "client", "client_request_id", "deadline", "ended", "id",
+        "incoming", "reserved", "unfinished_attempts",
     )  # fmt: skip
 
-    def __init__(self, rid: int, client: Caller, asked: ParsedRequest, now: int, left: int) -> None:
+    def __init__(
+        self, rid: int, client: Caller, incoming: ParsedRequest, now: int, left: int
+    ) -> None:
         self.id = rid
         self.client: Caller | None = client
-        self.asked: Any = asked  # what only its link reads; None once nothing is out any more
-        self.reserved = asked.reserved_bytes
-        self.name = asked.request_id
-        self.arrived = now
+        self.incoming: Any = incoming  # what only its link reads; None once nothing is out any more
+        self.reserved = incoming.reserved_bytes
+        self.client_request_id = incoming.request_id
+        self.arrived_at = now
         self.deadline = now + left
         self.attempts: list[Attempt] = []
-        self.live = 0
+        self.unfinished_attempts = 0
         self.begun = False  # an answer is on its way to the client
         self.ended = False
 
@@ -108,15 +110,24 @@
     time limit ends it any more, and what it took is the time to its beginning.
     """
 
-    __slots__ = ("backend", "begun", "closed", "connection", "limit", "number", "request", "sent")
+    __slots__ = (
+        "backend",
+        "begun",
+        "concluded",
+        "connection",
+        "timeout",
+        "number",
+        "request",
+        "sent_at",
+    )
 
     def __init__(self, request: Request | None, number: int, backend: int, sent: int) -> None:
         self.request = request
         self.number = number
         self.backend = backend
-        self.sent = sent
-        self.limit = 0
-        self.closed = False
+        self.sent_at = sent
+        self.timeout = 0
+        self.concluded = False
         self.begun = 0
         self.connection: AttemptHandle | None = None
 
@@ -125,7 +136,7 @@
     """Whether a timer would find nothing to do any more."""
     if isinstance(item, int):
         return False
-    return item.closed if isinstance(item, Attempt) else item.ended
+    return item.concluded if isinstance(item, Attempt) else item.ended
 
 
 class Node:
@@ -138,49 +149,49 @@
         self.config = config
         self.loop = loop
         self.now = time.monotonic_ns()
-        self.budget = Budget(config.memory_mb)
-        self.clients = 0
+        self.budget = MemoryBudget(config.memory_mb)
+        self.client_count = 0
         # The server's, once it listens.
-        self.freed: Callable[[], None] = lambda: None
+        self.on_descriptor_freed: Callable[[], None] = lambda: None
         # What an installation with a lasting disk recalls into the module at the start.
-        self.recall: Callable[[Balancer, int], None] = lambda _balancer, _now: None
+        self.restore_state: Callable[[Balancer, int], None] = lambda _balancer, _now: None
         self.evict: Callable[[], bool] = lambda: False
         self.elsewhere = 0  # descriptors that another process of this node holds
-        self.sockets = self.own_sockets()
+        self.max_connections = self.compute_max_connections()
         self.requests: dict[int, Request] = {}
         # The clients' ids: of requests open here, and of those that ended lately.
         self.names: set[bytes] = set()
         self.ended_names: set[bytes] = set()
         self.older_names: set[bytes] = set()
         self.names_turned = 0
-        self.open = 0
-        self.last_id = 0
-        self.inside = False
+        self.open_request_count = 0
+        self.last_request_id = 0
+        self.in_event = False
         self.outcomes: deque[tuple[Attempt, Outcome, int, Sequence[float]]] = deque()
         self.timers: list[tuple[int, int, int | Attempt | Request]] = []
         self.timer_count = 0
         self.dead_timers = 0
-        self.timer: asyncio.TimerHandle | None = None
+        self.loop_timer: asyncio.TimerHandle | None = None
         self.armed = NO_TIMER
         self.log_second = 0
         self.log_lines = 0
-        self.crashes = 0  # exceptions that nobody foresaw
+        self.unexpected_error_count = 0  # exceptions that nobody foresaw
         loop.set_exception_handler(self.loop_failed)
         self.balancer = Balancer(config.settings, config.seed, self)
 
     def start(self) -> None:
         """Begin from the list in the configuration; ListError if it is malformed."""
         rows = self.known()
-        self.enter()
+        self.begin_event()
         try:
             self.balancer.start(self.now)
             self.balancer.on_members(self.now, Update.CACHED, rows)
-            self.recall(self.balancer, self.now)
+            self.restore_state(self.balancer, self.now)
         finally:
-            self.leave()
+            self.end_event()
 
     def known(self) -> list[Listing]:
-        return self.discovery.load_known_list(self.config.known)
+        return self.discovery.load_known_list(self.config.initial_list)
 
     def reload(self, config: Config) -> dict[str, int]:
         """Go on under a new configuration; returns the numbers of its classes by name.
@@ -190,28 +201,28 @@
         if config.zones != self.config.zones:
             # The list's rows are read by the names of the start.
             raise ValueError("areas can change only at a start")
-        numbers = self.retune(config.settings)
+        numbers = self.update_settings(config.settings)
         self.config = config
         self.share(self.elsewhere)
         self.discovery.change_address(config.discovery)
         return numbers
 
-    def retune(self, settings: Settings) -> dict[str, int]:
+    def update_settings(self, settings: Settings) -> dict[str, int]:
         """Other classes, rules and limits for what comes; see `reconfigure`."""
-        now = self.enter()
+        now = self.begin_event()
         try:
             return reconfigure(self.balancer, now, settings)
         finally:
-            self.leave()
+            self.end_event()
 
     # ---- events: each enters, tells the Balancer, and leaves -----------
 
-    def enter(self) -> int:
-        self.inside = True
+    def begin_event(self) -> int:
+        self.in_event = True
         self.now = now = time.monotonic_ns()
         return now
 
-    def leave(self) -> None:
+    def end_event(self) -> None:
         """Tell the outcomes that came up meanwhile, then set the timer anew.
 
         Left out once, no outcome would be told and no timer set any more: each event
@@ -220,24 +231,24 @@
         outcomes = self.outcomes
         while outcomes:
             self.tell(*outcomes.popleft())
-        self.inside = False
+        self.in_event = False
         timers = self.timers
         if timers and timers[0][0] < self.armed:
             self.arm(timers[0][0])
 
-    def request(self, client: Caller, incoming: ParsedRequest, waited: int) -> Request | None:
+    def start_request(self, client: Caller, incoming: ParsedRequest, waited: int) -> Request | None:
         """Take a client's request; None where as many are open as the settings allow."""
-        if self.open >= self.config.max_open:
+        if self.open_request_count >= self.config.max_open_requests:
             return None
-        now = self.enter()
-        self.last_id += 1
-        rid = self.last_id
+        now = self.begin_event()
+        self.last_request_id += 1
+        rid = self.last_request_id
         left = incoming.timeout_ns - waited
         r = Request(rid, client, incoming, now, left)
         self.requests[rid] = r
-        self.names.add(r.name)
-        self.open += 1
-        self.later(r.deadline + BACKSTOP, r)
+        self.names.add(r.client_request_id)
+        self.open_request_count += 1
+        self.schedule(r.deadline + BACKSTOP, r)
         try:
             self.balancer.on_request(
                 now,
@@ -252,13 +263,13 @@
             )
         except Exception:
             self.broken()
-            if not r.live:
+            if not r.unfinished_attempts:
                 self.fail_at_once(r)
         finally:
-            self.leave()
+            self.end_event()
         return r
 
-    def repeated(self, name: bytes) -> bool:
+    def is_repeated(self, name: bytes) -> bool:
         """Whether a request with this id is open, or was a second or two ago.
 
         Ids are new with every request, a client's retry too. A second one is a copy, or
@@ -272,48 +283,48 @@
 
     def exclude(self, backend: int) -> None:
         """Begin nothing new there from this moment on, whatever the list says."""
-        self.enter()
+        self.begin_event()
         try:
             self.balancer.ban(self.now, backend)
             self.upstream.drain_backend(backend)
         except Exception:
             self.broken()
         finally:
-            self.leave()
+            self.end_event()
 
     def include(self, backend: int) -> None:
-        self.enter()
+        self.begin_event()
         try:
             self.balancer.lift(self.now, backend)
         except Exception:
             self.broken()
         finally:
-            self.leave()
+            self.end_event()
 
     def client_gone(self, r: Request) -> None:
         """The client left: nothing more is owed, attempts go on to their outcomes."""
         if r.ended:
             return
-        now = self.enter()
+        now = self.begin_event()
         try:
             self.end(r)
             self.balancer.on_gone(now, r.id)
         except Exception:
             self.broken()
         finally:
-            self.leave()
+            self.end_event()
 
     def client_half_closed(self, r: Request) -> None:
         """The client has ended its sending: it may be gone, and it may still read an answer."""
         if r.ended:
             return
-        now = self.enter()
+        now = self.begin_event()
         try:
             self.balancer.on_half_closed(now, r.id)
         except Exception:
             self.broken()
         finally:
-            self.leave()
+            self.end_event()
 
     def may_begin(self, a: Attempt) -> bool:
         """Whether an attempt whose last byte is about to leave may still do so: its connection
@@ -323,8 +334,8 @@
             return True
         return not r.ended and self.balancer.may_begin(time.monotonic_ns(), r.id, a.number)
 
-    def members_told(self, update: Update, rows: list[Listing], stale: list[int]) -> None:
-        now = self.enter()
+    def apply_member_update(self, update: Update, rows: list[Listing], stale: list[int]) -> None:
+        now = self.begin_event()
         try:
             for backend in stale:
                 # Dials too: with a longer dial time-out than the grace for drains, what
@@ -334,40 +345,40 @@
         except Exception:
             self.broken()
         finally:
-            self.leave()
+            self.end_event()
 
     def begin_answer(self, a: Attempt) -> None:
         """An attempt's answer is passed on from here on, see Attempt; `conclude` ends it."""
         r = a.request
         assert r is not None
-        inside = self.inside
-        now = self.now if inside else self.enter()
+        inside = self.in_event
+        now = self.now if inside else self.begin_event()
         a.begun = now
         r.begun = True
         try:
-            self.balancer.on_started(now, r.id, a.number, now - a.sent)
+            self.balancer.on_started(now, r.id, a.number, now - a.sent_at)
         except Exception:
             self.broken()
         finally:
             if not inside:
-                self.leave()
+                self.end_event()
 
     def conclude(self, a: Attempt, outcome: Outcome, load: Sequence[float] = ()) -> None:
         """Settle an attempt's one outcome; the Balancer is told after the current event."""
-        if a.closed:
+        if a.concluded:
             return
-        a.closed = True
+        a.concluded = True
         a.connection = None
-        inside = self.inside
-        now = self.now if inside else self.enter()
+        inside = self.in_event
+        now = self.now if inside else self.begin_event()
         r = a.request
-        self.outcomes.append((a, outcome, (a.begun or now) - a.sent, load))
+        self.outcomes.append((a, outcome, (a.begun or now) - a.sent_at, load))
         try:
             if r is not None and (a.begun or outcome == Outcome.OK) and not r.ended:
                 self.end(r)
         finally:
             if not inside:
-                self.leave()
+                self.end_event()
 
     def tell(self, a: Attempt, outcome: Outcome, taken: int, load: Sequence[float]) -> None:
         r = a.request
@@ -375,11 +386,11 @@
             if r is None:
                 self.balancer.on_probe(self.now, a.backend, outcome, taken, load)
                 return
-            r.live -= 1
+            r.unfinished_attempts -= 1
             self.balancer.on_outcome(self.now, r.id, a.number, outcome, taken, r.ended, load)
         except Exception:
             self.broken()
-            if r is not None and not r.live:
+            if r is not None and not r.unfinished_attempts:
                 self.fail_at_once(r)
         if r is not None:
             self.forget(r)
@@ -389,19 +400,19 @@
     def end(self, r: Request) -> None:
         r.ended = True
         r.client = None
-        self.open -= 1
+        self.open_request_count -= 1
         self.forget(r)
 
     def forget(self, r: Request) -> None:
         """Drop a request that has ended and has nothing out any more."""
-        if r.ended and not r.live and self.requests.pop(r.id, None) is not None:
-            self.names.discard(r.name)
-            self.ended_names.add(r.name)
+        if r.ended and not r.unfinished_attempts and self.requests.pop(r.id, None) is not None:
+            self.names.discard(r.client_request_id)
+            self.ended_names.add(r.client_request_id)
             self.dead_timers += 1 + len(r.attempts)
             # Its timers hold it for up to its deadline, and it them in a ring.
-            r.asked = None
+            r.incoming = None
             r.attempts = []
-            self.budget.give(r.reserved)
+            self.budget.release(r.reserved)
 
     def fail_at_once(self, r: Request, late: bool = False) -> None:
         """Give a request its final answer: failed."""
@@ -430,7 +441,7 @@
         now = self.now
         a = Attempt(r, len(r.attempts), backend, now)
         r.attempts.append(a)
-        r.live += 1
+        r.unfinished_attempts += 1
         left = r.deadline - now
         limit = min(timeout, left) if timeout else left
         if r.ended or left <= 0 or len(r.attempts) > self.config.settings.max_attempts:
@@ -438,8 +449,8 @@
         elif limit <= 0:
             self.conclude(a, Outcome.TIMEOUT)
         else:
-            a.limit = limit
-            self.later(now + limit, a)
+            a.timeout = limit
+            self.schedule(now + limit, a)
             self.carry(a)
 
     def refuse(self, request: int, retry_after: int) -> None:
@@ -464,8 +475,8 @@
     def probe(self, backend: int) -> None:
         now = self.now
         a = Attempt(None, 0, backend, now)
-        a.limit = 2 * self.config.settings.connect_timeout
-        self.later(now + a.limit, a)
+        a.timeout = 2 * self.config.settings.connect_timeout
+        self.schedule(now + a.timeout, a)
         self.carry(a)
 
     def carry(self, a: Attempt) -> None:
@@ -473,7 +484,7 @@
         try:
             self.upstream.send(a)
         except Exception as err:
-            self.crashed("a send", err)
+            self.record_error("a send", err)
             self.give_up(a, Outcome.RESET)
 
     def watch(self) -> None:
@@ -483,7 +494,7 @@
         self.discovery.fetch()
 
     def set_timer(self, token: int, due: int) -> None:
-        self.later(due, token)
+        self.schedule(due, token)
 
     def log(self, text: str) -> None:
         """A line on standard error; past LOG_LINES a second lines are dropped."""
@@ -499,25 +510,25 @@
 
     # ---- time ---------------------------------------------------------
 
-    def later(self, due: int, item: int | Attempt | Request) -> None:
+    def schedule(self, due: int, item: int | Attempt | Request) -> None:
         """One heap for all timers, and one timer of the loop: most are never due."""
         self.timer_count += 1
         heappush(self.timers, (due, self.timer_count, item))
-        if not self.inside and due < self.armed:
+        if not self.in_event and due < self.armed:
             self.arm(due)
 
     def arm(self, due: int) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.loop_timer is not None:
+            self.loop_timer.cancel()
         self.armed = due
         # The loop rounds to whole milliseconds; an early call would only come again.
         delay = max(due - time.monotonic_ns(), 0) / SECOND + 0.0005
-        self.timer = self.loop.call_later(delay, self.tick)
+        self.loop_timer = self.loop.call_later(delay, self.tick)
 
     def tick(self) -> None:
-        self.timer = None
+        self.loop_timer = None
         self.armed = NO_TIMER
-        now = self.enter()
+        now = self.begin_event()
         timers = self.timers
         try:
             while timers and timers[0][0] <= now:
@@ -529,22 +540,22 @@
                     if isinstance(item, int):
                         # The module sets its next timer in this event: without one
                         # from here it would never be called again.
-                        self.later(now + REARM, item)
+                        self.schedule(now + REARM, item)
         finally:
-            self.leave()
+            self.end_event()
 
     def due(self, now: int, item: int | Attempt | Request) -> None:
         if isinstance(item, int):
             self.balancer.on_timer(now, item)
         elif isinstance(item, Attempt):
-            if not item.closed and not item.begun:
+            if not item.concluded and not item.begun:
                 self.give_up(item, Outcome.TIMEOUT)
         elif not item.ended and not item.begun:
             self.overdue(item)
 
     def give_up(self, a: Attempt, outcome: Outcome) -> None:
         """Stop waiting. Where not all of the request was written it never ran."""
-        if a.closed:
+        if a.concluded:
             return
         connection = a.connection
         if connection is not None and not connection.abandon():
@@ -561,23 +572,23 @@
 
     def broken(self) -> None:
         """The event in hand raised: count it and say where."""
-        self.crashes += 1
+        self.unexpected_error_count += 1
         self.log("an event raised: " + traceback.format_exc(limit=-4))
 
-    def crashed(self, where: str, error: BaseException) -> None:
+    def record_error(self, where: str, error: BaseException) -> None:
         """Count and log an exception that nobody foresaw; its connection is the caller's."""
-        self.crashes += 1
+        self.unexpected_error_count += 1
         text = "".join(traceback.format_exception(error, limit=-4))
-        self.log(f"{where} raised ({self.crashes} so far): {text}")
+        self.log(f"{where} raised ({self.unexpected_error_count} so far): {text}")
 
     def loop_failed(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """The loop's own last word on a callback that raised, whatever it belonged to."""
         error = context.get("exception")
         transport = context.get("transport")
         if isinstance(error, BaseException):
-            self.crashed(str(context.get("message", "a callback")), error)
+            self.record_error(str(context.get("message", "a callback")), error)
         else:
-            self.crashes += 1
+            self.unexpected_error_count += 1
             self.log(f"the loop: {context.get('message')}")
         abort = getattr(transport, "abort", None)  # uvloop's are no asyncio.Transport
         if abort is not None:
@@ -597,29 +608,33 @@
 
     # ---- descriptors --------------------------------------------------
 
-    def own_sockets(self) -> int:
+    def compute_max_connections(self) -> int:
         """Descriptors for clients and servers."""
-        reserved = RESERVED + (RESERVED_MGMT if self.config.mgmt is not None else 0)
-        own = self.config.sockets - reserved
+        reserved = RESERVED_DESCRIPTORS + (RESERVED_MGMT if self.config.mgmt is not None else 0)
+        own = self.config.max_descriptors - reserved
         return max(own - self.elsewhere, LEAST_SOCKETS) if self.elsewhere else own
 
     def share(self, elsewhere: int) -> None:
         """Go on beside another process of this node, which holds so many descriptors; 0: alone."""
         self.elsewhere = elsewhere
-        self.sockets = self.own_sockets()
+        self.max_connections = self.compute_max_connections()
         self.budget.resize(self.config.memory_mb, 2 if elsewhere else 1)
 
-    def room_for_client(self) -> bool:
+    def has_room_for_client(self) -> bool:
         """Whether one more client fits, leaving backends their part."""
-        used = self.clients + self.upstream.descriptor_count
-        most = self.sockets - max(self.sockets // UPSTREAM_PART - self.upstream.descriptor_count, 0)
-        return used < self.sockets and self.clients < most
+        used = self.client_count + self.upstream.descriptor_count
+        most = self.max_connections - max(
+            self.max_connections // UPSTREAM_PART - self.upstream.descriptor_count, 0
+        )
+        return used < self.max_connections and self.client_count < most
 
-    def room_for_upstream(self) -> bool:
+    def has_room_for_backend(self) -> bool:
         """Whether one more connection to a backend fits, giving up an idle one for it."""
-        used = self.clients + self.upstream.descriptor_count
-        if used < self.sockets:
+        used = self.client_count + self.upstream.descriptor_count
+        if used < self.max_connections:
             return True
         # What is given up is closed with the next turn of the loop: until then
         # both stand, within what RESERVED leaves.
-        return used < self.sockets + OVERLAP and (self.upstream.close_oldest_idle() or self.evict())
+        return used < self.max_connections + OVERLAP and (
+            self.upstream.close_oldest_idle() or self.evict()
+        )
--- a/windrelay/server.py
+++ b/windrelay/server.py
@@ -303,7 +303,7 @@
             return
         if size > SMALL_BODY:
             self._fits(more)
-        self._server.node.budget.take(more)
+        self._server.node.budget.reserve(more)
         incoming.reserved_bytes = size
 
     def _fits(self, more: int) -> None:
@@ -351,7 +351,7 @@
         try:
             server.read_head(incoming)
         except BadRequest as err:
-            server.node.budget.give(incoming.reserved_bytes)
+            server.node.budget.release(incoming.reserved_bytes)
             self._reject(err.status, err)
             return False
         return True
@@ -369,19 +369,19 @@
             )
             return
         if self._server.refusing_requests:
-            node.budget.give(incoming.reserved_bytes)
+            node.budget.release(incoming.reserved_bytes)
             self.send_empty_response(503, 0)
             return
-        if node.repeated(incoming.request_id):
-            node.budget.give(incoming.reserved_bytes)
+        if node.is_repeated(incoming.request_id):
+            node.budget.release(incoming.reserved_bytes)
             self._reject(400, "the id of another request")
             return
         incoming.headers = READ_ALREADY  # the rest is kept as long as the request is
         waited = time.monotonic_ns() - incoming.received
         # Set first: the answer may come before the call returns.
-        request = node.request(self, incoming, waited)
+        request = node.start_request(self, incoming, waited)
         if request is None:
-            node.budget.give(incoming.reserved_bytes)
+            node.budget.release(incoming.reserved_bytes)
             self.send_empty_response(503, 0)
         elif not request.ended:
             self._request = request
@@ -472,7 +472,7 @@
         server = self._server
         return (
             not self._keep_alive
-            or len(server.idle) * SOCKETS_PER_IDLE_CLIENT >= server.node.sockets
+            or len(server.idle) * SOCKETS_PER_IDLE_CLIENT >= server.node.max_connections
             or self._eof
             or server.stopping
             or server.evacuated
@@ -498,12 +498,12 @@
 
     def close_on_error(self, where: str, error: BaseException) -> None:
         """An exception in a callback: its client is told of a failure, and the connection ends."""
-        self._server.node.crashed(where, error)
+        self._server.node.record_error(where, error)
         if self._transport is not None:
             try:
                 self._reject(500, where)
             except Exception as err:
-                self._server.node.crashed("a rejection", err)
+                self._server.node.record_error("a rejection", err)
                 self._transport.abort()
 
     def _reject(self, status: int, why: object = "") -> None:
@@ -544,7 +544,7 @@
     def _drop_incoming(self) -> None:
         for incoming in (self._incoming, self._whole):
             if incoming is not None:
-                self._server.node.budget.give(incoming.reserved_bytes)
+                self._server.node.budget.release(incoming.reserved_bytes)
         self._incoming = self._whole = None
 
     # ---- ends ---------------------------------------------------------
@@ -577,8 +577,8 @@
             if source is not None:
                 source.cancel()
         finally:
-            server.node.clients -= 1
-            server.node.freed()
+            server.node.client_count -= 1
+            server.node.on_descriptor_freed()
 
     def resting(self) -> bool:
         """Whether it can be closed without harm: nothing under way either way."""
@@ -671,7 +671,7 @@
         settings = node.config.settings
         self.set_classes(settings.classes, {c.name: i for i, c in enumerate(settings.classes)})
         self._tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
-        node.freed = self.freed
+        node.on_descriptor_freed = self.freed
         node.evict = self.evict
 
     def set_classes(self, classes: Iterable[RequestClass], numbers: Mapping[str, int]) -> None:
@@ -685,7 +685,7 @@
     def listen(self, address: Address, reuse_port: bool = False) -> int:
         """Take connections at this address; returns the port.
 
-        With `reuse_port` another process of ours may listen there too, see `succession`.
+        With `reuse_port` another process of ours may listen there too, see `handover`.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         try:
@@ -747,12 +747,12 @@
                 self.node.log(f"accept: {err}")
                 self._pause()
                 return
-            self.node.clients += 1
+            self.node.client_count += 1
             sock.setblocking(False)
             self._attach_transport(sock, ClientConnection(self, sock))
 
     def _attach_transport(self, sock: socket.socket, conn: ClientConnection) -> None:
-        """Hand an accepted socket over to a transport; see glance for who owns it when."""
+        """Hand an accepted socket over to a transport; see `socket_view` for who owns it when."""
         loop = self.node.loop
         task = loop.create_task(loop.connect_accepted_socket(lambda: conn, sock))
         self._accept_tasks.add(task)
@@ -772,11 +772,11 @@
         if isinstance(err, OSError):
             self.node.log(f"welcome: {err}")
         elif err is not None:
-            self.node.crashed("a welcome", err)
+            self.node.record_error("a welcome", err)
 
     def _room(self) -> bool:
         """Room for one more; else what can best be missed goes, and the next waits its turn."""
-        if self.node.room_for_client():
+        if self.node.has_room_for_client():
             return True
         self._pause()
         self.make_room()
@@ -808,7 +808,7 @@
         """A descriptor has come free: accept again."""
         if self.handed:
             return
-        if self._accept_paused and self._listener is not None and self.node.room_for_client():
+        if self._accept_paused and self._listener is not None and self.node.has_room_for_client():
             self._accept_paused = False
             self.node.loop.add_reader(self._listener, self._accept)
 
@@ -852,7 +852,7 @@
                 conn.close_on_error("a sweep", err)
         self.close_rested(self.awaiting_first_request, SILENT_SWEEPS)
         # Clients that asked once and stay cost memory and a descriptor each, for good.
-        short = 2 * self.node.clients > self.node.sockets
+        short = 2 * self.node.client_count > self.node.max_connections
         self.close_rested(self.idle, SHORT_IDLE_SWEEPS if short else IDLE_SWEEPS)
         if self.evacuated and self.sweeps - self._evacuated_since >= EVACUATE_SWEEPS:
             self.close_resting()
--- a/windrelay/glance.py
+++ b/windrelay/socket_view.py
@@ -42,7 +42,7 @@
 import socket
 
 
-class Glance(socket.socket):
+class SocketView(socket.socket):
     """A look at the TCP socket of a transport: it may ask, and it never closes.
 
     Whoever holds one calls `end` in connection_lost at the latest: past that the number
@@ -56,7 +56,7 @@
         number = transport.get_extra_info("socket").fileno()
         super().__init__(socket.AF_INET, socket.SOCK_STREAM, 0, fileno=number)
 
-    def end(self) -> None:
+    def release(self) -> None:
         """Look no more; what was asked from here on raises OSError."""
         self.detach()
 
@@ -68,7 +68,7 @@
         self.detach()
 
 
-def unread(sock: socket.socket) -> bool:
+def has_unread_data(sock: socket.socket) -> bool:
     """Whether bytes, an end or an error wait in the kernel; true where the number is gone."""
     try:
         sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
--- a/windrelay/upstream.py
+++ b/windrelay/upstream.py
@@ -15,9 +15,9 @@
 
 from flinthatch import Outcome
 from windrelay.config import Address
-from windrelay.glance import Glance, unread
 from windrelay.guard import closes_connection_on_error
 from windrelay.interfaces import StreamingCaller
+from windrelay.socket_view import SocketView, has_unread_data
 
 if TYPE_CHECKING:
     from windrelay.http_node import HttpNode
@@ -70,10 +70,9 @@
     __slots__ = (
         "_chunked", "_chunks", "_closed", "_complete", "_dial_timer", "_dirty", "_glance", "_got",
         "_headers_done", "_interim", "_keep_alive", "_last_got", "_length", "_let", "_not_run",
-        "_passing", "_paused", "_report", "_rest_timer", "_says_close", "_size", "_slow",
-        "_spoilt", "_status",
-        "_taken", "_task", "_type", "_until_end", "_unsent", "address", "attempt", "backend",
-        "idle_since", "parser", "transport", "upstream", "written",
+        "_passing", "_paused", "_report", "_rest_timer", "_says_close", "_size", "_slow", "_spoilt",
+        "_status", "_taken", "_task", "_type", "_unsent", "_until_end", "address", "attempt",
+        "backend", "idle_since", "parser", "transport", "upstream", "written",
     )  # fmt: skip
 
     def __init__(self, upstream: HttpConnectionPool, backend: int, address: Address) -> None:
@@ -87,7 +86,7 @@
         self._closed = False
         self._let = False
         self._taken = 0  # bytes of the answer that count against the node's budget
-        self._glance: Glance | None = None
+        self._glance: SocketView | None = None
         self._task: asyncio.Task[None] | None = None
         self._dial_timer: asyncio.TimerHandle | None = None
         self._rest_timer: asyncio.TimerHandle | None = None
@@ -124,7 +123,7 @@
     # ---- dialling -----------------------------------------------------
 
     def dial(self, attempt: Attempt) -> None:
-        """Connect, for this attempt; the loop makes the descriptor and owns it (see glance)."""
+        """Connect for this attempt; the loop makes and owns the descriptor (see `socket_view`)."""
         node = self.upstream.node
         self.attempt = attempt
         self.upstream.descriptor_count += 1
@@ -151,7 +150,7 @@
             self._settle(Outcome.NOT_SENT)  # says nothing of the backend
             return
         if error is not None and not isinstance(error, OSError):
-            self.upstream.node.crashed("a dial", error)
+            self.upstream.node.record_error("a dial", error)
         self._broken()
 
     @closes_connection_on_error
@@ -173,7 +172,7 @@
         if self._closed:
             self.transport.abort()
             return
-        self._glance = Glance(transport)
+        self._glance = SocketView(transport)
         # With no room above the kernel's, a write that leaves anything behind
         # pauses us at once: not paused means that every byte has left.
         self.transport.set_write_buffer_limits(high=0)
@@ -204,8 +203,8 @@
         if r is None:
             head = b"GET /health/live HTTP/1.1\r\nHost: %s\r\n\r\n" % str(self.address).encode()
         else:
-            left = attempt.sent + attempt.limit - time.monotonic_ns()
-            asked = r.asked
+            left = attempt.sent_at + attempt.timeout - time.monotonic_ns()
+            asked = r.incoming
             head = b"%s%d\r\n\r\n" % (asked.head, max(left // MS, 1))
             if asked.body_size <= PIECE:
                 head = b"".join((head, *asked.body))
@@ -214,7 +213,7 @@
         # Mostly one write, never more than a head and 64 KiB. Where the write itself fails the
         # kernel took nothing, so the last byte never left: connection_lost tells the outcome.
         # A rest may wait above the kernel, but how much is in doubt from here on.
-        if r is None or r.asked.body_size <= PIECE:
+        if r is None or r.incoming.body_size <= PIECE:
             transport.write(head)
             self.written = not transport.is_closing()
             return
@@ -250,7 +249,7 @@
         """What was held of an answer has been passed on or dropped."""
         taken, self._taken = self._taken, 0
         if taken:
-            self.upstream.node.budget.give(taken)
+            self.upstream.node.budget.release(taken)
 
     def data_received(self, data: bytes) -> None:
         parser = self.parser
@@ -268,7 +267,7 @@
         try:
             parser.feed_data(data)
         except httptools.HttpParserCallbackError as err:
-            self.upstream.node.crashed("reading an answer", err.__context__ or err)
+            self.upstream.node.record_error("reading an answer", err.__context__ or err)
             self._spoilt = True
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._dirty = True
@@ -374,7 +373,7 @@
         else:
             self._chunks.append(body)
             self._taken += len(body)
-            self.upstream.node.budget.take(len(body))
+            self.upstream.node.budget.reserve(len(body))
             if self._size > MAX_BUFFERED_BODY_BYTES or self._length > MAX_BUFFERED_BODY_BYTES:
                 self._pass_on()
 
@@ -448,7 +447,7 @@
     @closes_connection_on_error
     def connection_lost(self, exc: Exception | None) -> None:
         if self._glance is not None:
-            self._glance.end()
+            self._glance.release()
             self._glance = None
         try:
             if self.attempt is not None:
@@ -463,18 +462,18 @@
     def _broke_off(self, attempt: Attempt, exc: Exception | None) -> None:
         """Learn from a break under an attempt, and log it."""
         now = time.monotonic_ns()
-        idle = attempt.sent - self.idle_since if self.idle_since else -MS
+        idle = attempt.sent_at - self.idle_since if self.idle_since else -MS
         if self.idle_since and not self._got:
             self.upstream.idle_timeout.broke(now, self.backend, idle)
         self.upstream.node.log(
             f"backend {self.backend} broke off: {exc or 'end'}, idle before {idle // MS} ms, "
-            f"{(now - attempt.sent) // MS} ms after the send, "
+            f"{(now - attempt.sent_at) // MS} ms after the send, "
             f"{self._got} bytes of an answer, written {self.written}"
         )
 
     def close_on_error(self, where: str, error: BaseException) -> None:
         """An exception in a callback: a break of this connection, and no more."""
-        self.upstream.node.crashed(where, error)
+        self.upstream.node.record_error(where, error)
         self._broken()
         if self.transport is not None:
             self.transport.abort()  # also where it was marked as closed half way
@@ -506,7 +505,7 @@
         outcome = self._outcome()
         if attempt is not None:
             if self.idle_since:
-                idle = attempt.sent - self.idle_since
+                idle = attempt.sent_at - self.idle_since
                 self.upstream.idle_timeout.held(node.now, idle)
             r = attempt.request
             passing, self._passing = self._passing, None
@@ -530,7 +529,7 @@
     def _load(self) -> Sequence[float]:
         """The load report in the settings' order of columns, or nothing."""
         config = self.upstream.node.config
-        if not self._report or not config.reports:
+        if not self._report or not config.load_reports_enabled:
             return ()
         values: dict[str, float] = {}
         try:
@@ -599,7 +598,7 @@
         if not self._let:
             self._let = True
             self.upstream.descriptor_count -= 1
-            self.upstream.node.freed()
+            self.upstream.node.on_descriptor_freed()
 
     def usable(self) -> bool:
         """Whether an idle connection still stands, as far as the kernel knows.
@@ -611,7 +610,7 @@
         return transport is not None and not transport.is_closing() and not self._unread()
 
     def _unread(self) -> bool:
-        return self._glance is None or unread(self._glance)
+        return self._glance is None or has_unread_data(self._glance)
 
 
 class AdaptiveIdleTimeout:
@@ -683,7 +682,7 @@
         self.by_age: dict[BackendConnection, None] = {}
         self.dials: set[BackendConnection] = set()  # not made yet
         self.idle_timeout = AdaptiveIdleTimeout(0)
-        self.set_backend_idle_timeout(node.config.idle_close)
+        self.set_backend_idle_timeout(node.config.backend_idle_timeout)
 
     def set_backend_idle_timeout(self, closed_after: int) -> None:
         """Backends close what has been idle for so many nanoseconds, by the settings."""
@@ -695,17 +694,17 @@
 
     def send(self, attempt: Attempt) -> None:
         backend = attempt.backend
-        address = self.node.discovery.roster.endpoints.get(backend)
+        address = self.node.discovery.backend_list.endpoints.get(backend)
         if address is None:
             self.node.conclude(attempt, Outcome.CONNECT_FAILED)
             return
-        while (conn := self.pop(backend, attempt.sent)) is not None:
-            if attempt.sent - conn.idle_since <= self.idle_timeout.timeout_ns and conn.usable():
+        while (conn := self.pop(backend, attempt.sent_at)) is not None:
+            if attempt.sent_at - conn.idle_since <= self.idle_timeout.timeout_ns and conn.usable():
                 attempt.connection = conn
                 conn.begin(attempt)
                 return
             conn.abandon()
-        if not self.node.room_for_upstream():
+        if not self.node.has_room_for_backend():
             # Our own want of descriptors says nothing of the backend.
             self.node.conclude(attempt, Outcome.NOT_SENT)
             return
@@ -737,7 +736,7 @@
     def release(self, conn: BackendConnection) -> None:
         """Keep a connection for the next attempt, unless its backend has moved, drains or left."""
         node = self.node
-        if conn.backend in node.balancer.banned or not node.discovery.roster.ready(
+        if conn.backend in node.balancer.banned or not node.discovery.backend_list.is_ready(
             conn.backend, conn.address
         ):
             conn.abandon()
