--- a/benchmarks/scale/discovery.py
+++ b/benchmarks/scale/discovery.py
@@ -82,14 +82,14 @@
     before = tracemalloc.get_traced_memory()[0]
     decisions = Balancer(settings.settings, 1, Silent())
     decisions.start(0)
-    decisions.on_members(1, held.parse(json.loads(body))[0], taken)
+    decisions.on_backend_list(1, held.parse(json.loads(body))[0], taken)
     balancer_bytes = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     again = Balancer(settings.settings, 1, Silent())
     again.start(0)
     update = held.parse(json.loads(body))[0]
     began = time.process_time()
-    again.on_members(1, update, taken)
+    again.on_backend_list(1, update, taken)
     balancer_ms = 1000 * (time.process_time() - began)
     return ListCost(
         backends, len(body), read_ms, held_bytes, balancer_bytes, balancer_ms,
@@ -107,7 +107,7 @@
         update, rows, endpoints, _ = held.parse(raw)
         rows += held.find_displaced(rows, endpoints)
         held.apply(raw["rev"], update, rows, endpoints)
-        decisions.on_members(2 + n, update, rows)
+        decisions.on_backend_list(2 + n, update, rows)
     return 1000 * (time.process_time() - began) / DELTAS
 
 
--- a/flinthatch/learned_state.py
+++ b/flinthatch/learned_state.py
@@ -12,7 +12,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from flinthatch.balancer import BACKOFF, BACKOFF_MAX, MAX_LIMIT, MIN_LIMIT, Backend, Balancer
+from flinthatch.balancer import (
+    EJECTION_BACKOFF_NS,
+    MAX_CONCURRENCY_LIMIT,
+    MAX_EJECTION_BACKOFF_NS,
+    MIN_CONCURRENCY_LIMIT,
+    Backend,
+    Balancer,
+)
 from flinthatch.interface import MS, SECOND, State
 
 FORMAT = 1
@@ -48,18 +55,20 @@
         "level": balancer.concurrency_limit,
         "rate": balancer.send_rate,
         "classes": {
-            c.spec.name: {"lat": c.lat, "base": c.base} for c in balancer.classes if c.lat_n
+            c.spec.name: {"lat": c.mean_latency, "base": c.baseline_latency}
+            for c in balancer.classes
+            if c.latency_count
         },
         "backends": {
             str(b.id): {
-                "boot": b.boot + clock if b.boot else 0,
-                "lat": b.lat,
+                "boot": b.started_at + clock if b.started_at else 0,
+                "lat": b.latency_ratio,
                 "down": max(b.ejected_until - now, 0) if b.ejected_until else 0,
                 "trial": b.half_open,
-                "backoff": b.backoff,
-                "strikes": b.strikes,
-                "cold": max(b.cold_until - now, 0),
-                "rest": max(b.rest_until - now, 0),
+                "backoff": b.ejection_backoff,
+                "strikes": b.consecutive_failures,
+                "cold": max(b.slow_start_until - now, 0),
+                "rest": max(b.paused_until - now, 0),
             }
             for b in balancer.backends.values()
             if b.state == State.READY
@@ -84,14 +93,15 @@
         why = f"health is {age / SECOND:.0f} s old, {MAX_HEALTH_AGE_NS // SECOND} at most"
         return RestoreResult(0, latencies, why)
     balancer.concurrency_limit = max(
-        MIN_LIMIT, min(number(record.get("level"), balancer.concurrency_limit), MAX_LIMIT)
+        MIN_CONCURRENCY_LIMIT,
+        min(number(record.get("level"), balancer.concurrency_limit), MAX_CONCURRENCY_LIMIT),
     )
     # What a cold server may get hangs on the usual rate. Begun at 0, the few sends that allows
     # keep it low: after an upgrade amid a release a third was refused for 3 s.
     balancer.send_rate = max(0.0, number(record.get("rate"), 0.0))
     rows = record.get("backends")
     left = recall_backends(balancer, now, wall, int(age), rows if isinstance(rows, dict) else {})
-    balancer.recap()
+    balancer.update_slot_limits()
     return RestoreResult(left, latencies)
 
 
@@ -107,11 +117,11 @@
     for c in balancer.classes:
         row = rows.get(c.spec.name) if isinstance(rows, dict) else None
         lat = number(row.get("lat"), 0.0) if isinstance(row, dict) else 0.0
-        if isinstance(row, dict) and 0 < lat <= 2 * c.aim:
-            c.lat = lat
-            c.lat_n = ANSWERS
+        if isinstance(row, dict) and 0 < lat <= 2 * c.latency_target:
+            c.mean_latency = lat
+            c.latency_count = ANSWERS
             base = number(row.get("base"), 0.0)
-            c.base = base if 0 < base <= lat else 0.0
+            c.baseline_latency = base if 0 < base <= lat else 0.0
             count += 1
     return count
 
@@ -125,28 +135,33 @@
         row = rows.get(str(b.id))
         if b.state != State.READY or not isinstance(row, dict):
             continue
-        boot = b.boot + (wall - now) if b.boot else 0
+        boot = b.started_at + (wall - now) if b.started_at else 0
         if number(row.get("boot"), -1.0) // MS != boot // MS:
             continue  # it has started since: cold, and nothing that was known of it holds
         known.append((number(row.get("down"), 0.0), b, row))
     left = 0
     for down, b, row in sorted(known, key=lambda entry: (-entry[0], entry[1].id)):
-        b.lat = min(max(number(row.get("lat"), 1.0), 0.1), 10.0)
+        b.latency_ratio = min(max(number(row.get("lat"), 1.0), 0.1), 10.0)
         # Never warmer than its start says: only a later end counts.
         cold = int(number(row.get("cold"), 0.0)) - age
         if cold > 0:
-            b.cold_until = max(b.cold_until, now + min(cold, balancer.settings.slow_start))
+            b.slow_start_until = max(
+                b.slow_start_until, now + min(cold, balancer.settings.slow_start)
+            )
         rest = int(number(row.get("rest"), 0.0)) - age
         if rest > 0:
-            b.rest_until = now + min(rest, balancer.settings.overload_window)
-            balancer.remind(b.rest_until, b)
-        backoff = min(max(int(number(row.get("backoff"), BACKOFF)), BACKOFF), BACKOFF_MAX)
+            b.paused_until = now + min(rest, balancer.settings.overload_window)
+            balancer.schedule_wakeup(b.paused_until, b)
+        backoff = min(
+            max(int(number(row.get("backoff"), EJECTION_BACKOFF_NS)), EJECTION_BACKOFF_NS),
+            MAX_EJECTION_BACKOFF_NS,
+        )
         strikes = min(max(int(number(row.get("strikes"), 0.0)), 0), 100)
         if down > 0 or row.get("trial") is True:
-            b.backoff = min(max(int(down) - age, MIN_EJECTION_NS), BACKOFF_MAX)
+            b.ejection_backoff = min(max(int(down) - age, MIN_EJECTION_NS), MAX_EJECTION_BACKOFF_NS)
             balancer.eject(now, b, "ejected before the restart")
             left += bool(b.ejected_until)
-            b.strikes = strikes
-        b.backoff = backoff
-        balancer.settle(b)
+            b.consecutive_failures = strikes
+        b.ejection_backoff = backoff
+        balancer.update_bucket(b)
     return left
--- a/flinthatch/reconfigure.py
+++ b/flinthatch/reconfigure.py
@@ -13,7 +13,7 @@
 
 from dataclasses import replace
 
-from flinthatch.balancer import LEFTS, Balancer, ClassState
+from flinthatch.balancer import TIME_LEFT_STEP_COUNT, Balancer, ClassState
 from flinthatch.interface import Effect, RequestClass, Scope, Settings
 
 RETIRED_PREFIX = "~"  # before the name of a class that takes nothing new
@@ -63,7 +63,7 @@
     kept = [c for c in kept if not _retired(c) or id(c) in busy]
     _renumber(balancer, kept)
     balancer.settings = settings
-    balancer.recap()
+    balancer.update_slot_limits()
     balancer.dispatch(now)
     return {c.spec.name: c.number for c in kept if not _retired(c)}
 
@@ -80,35 +80,40 @@
     balancer.now = now
     waiting = [r for r in balancer.requests.values() if r.queued]
     for r in waiting:
-        balancer.unqueue(r)
-        balancer.finish(r)
+        balancer.dequeue(r)
+        balancer.refuse_or_fail(r)
     return len(waiting)
 
 
 def _fresh(spec: RequestClass, like: ClassState | None, tenants: int) -> ClassState:
     c = ClassState(0, spec, tenants)
     if like is not None:
-        c.lat, c.lat_n, c.base, c.share = like.lat, like.lat_n, like.base, like.share
+        c.mean_latency, c.latency_count, c.baseline_latency, c.share = (
+            like.mean_latency,
+            like.latency_count,
+            like.baseline_latency,
+            like.share,
+        )
     return c
 
 
 def _change(c: ClassState, spec: RequestClass) -> None:
     if spec.deadline != c.spec.deadline:
         # The times left were counted in steps of the old deadline.
-        c.lefts = [0] * (LEFTS + 1)
-        c.usual = c.asked = 0
+        c.time_left_histogram = [0] * (TIME_LEFT_STEP_COUNT + 1)
+        c.usual_time_left_step = c.time_left_count = 0
     c.spec = spec
-    c.aim = spec.latency_target
+    c.latency_target = spec.latency_target
     c.effect = spec.effect
 
 
 def _renumber(balancer: Balancer, classes: list[ClassState]) -> None:
-    sums = {id(c): balancer.ratio_sum[c.number] for c in balancer.classes}
-    counts = {id(c): balancer.ratio_n[c.number] for c in balancer.classes}
+    sums = {id(c): balancer.target_ratio_sums[c.number] for c in balancer.classes}
+    counts = {id(c): balancer.target_ratio_counts[c.number] for c in balancer.classes}
     balancer.classes = classes
-    balancer.ratio_sum = [sums.get(id(c), 0.0) for c in classes]
-    balancer.ratio_n = [counts.get(id(c), 0.0) for c in classes]
+    balancer.target_ratio_sums = [sums.get(id(c), 0.0) for c in classes]
+    balancer.target_ratio_counts = [counts.get(id(c), 0.0) for c in classes]
     for number, c in enumerate(classes):
         c.number = number
-    balancer.pointer %= len(classes)
-    balancer.left_in_turn = 0
+    balancer.current_class %= len(classes)
+    balancer.turns_left = 0
--- a/flinthatch/shared_limits.py
+++ b/flinthatch/shared_limits.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from flinthatch.balancer import NEVER, RETRY_BURST, Balancer
+from flinthatch.balancer import NEVER, RETRY_BUDGET_BURST_COUNT, Balancer
 from flinthatch.interface import State
 
 
@@ -28,15 +28,15 @@
     Requests that are out stay out; nothing is added where more are out than may be.
     """
     balancer.now = now
-    balancer.places = None if granted_slots is None else dict(granted_slots)
-    balancer.places_after = (
+    balancer.granted_slots = None if granted_slots is None else dict(granted_slots)
+    balancer.granted_slots_after_expiry = (
         None if granted_slots_after_expiry is None else dict(granted_slots_after_expiry)
     )
-    balancer.lapse_at = expires_at
-    balancer.instances = max(instance_count, 1)
-    balancer.retry_most = RETRY_BURST * min(max(retry_share, 0.0), 1.0)
-    balancer.retry_credit = min(balancer.retry_credit, balancer.retry_most)
-    balancer.recap()
+    balancer.grant_expires_at = expires_at
+    balancer.instance_count = max(instance_count, 1)
+    balancer.max_retry_budget = RETRY_BUDGET_BURST_COUNT * min(max(retry_share, 0.0), 1.0)
+    balancer.retry_budget = min(balancer.retry_budget, balancer.max_retry_budget)
+    balancer.update_slot_limits()
     balancer.dispatch(now)
 
 
@@ -52,10 +52,15 @@
         b = balancer.backends.get(number)
         if b is None or b.state != State.READY or b.half_open or b.ejected_until:
             continue
-        if b.seen and now - b.seen <= fresh and not b.errs and not b.strikes:
+        if (
+            b.last_outcome_at
+            and now - b.last_outcome_at <= fresh
+            and not b.error_fraction
+            and not b.consecutive_failures
+        ):
             continue
         b.half_open = True
-        balancer.settle(b)
+        balancer.update_bucket(b)
         count += 1
     return count
 
@@ -67,7 +72,7 @@
     if b is None or not b.ejected_until or b.ejected_until >= until:
         return False
     b.ejected_until = until
-    balancer.remind(until, b)
+    balancer.schedule_wakeup(until, b)
     return True
 
 
@@ -78,14 +83,14 @@
     b = balancer.backends.get(server)
     if b is None or not b.ejected_until:
         return False
-    balancer.reopen(b)
+    balancer.end_ejection(b)
     balancer.dispatch(now)
     return True
 
 
 def count_occupied_slots(balancer: Balancer) -> dict[int, int]:
     """Places taken at each server: what is out, and what was given up and may be at work yet."""
-    return {b.id: b.held + len(b.lingering) for b in balancer.backends.values()}
+    return {b.id: b.in_flight + len(b.abandoned_until) for b in balancer.backends.values()}
 
 
 def list_ejected(balancer: Balancer) -> set[int]:
@@ -96,7 +101,10 @@
 def list_recent_answers(balancer: Balancer, now: int, within: int) -> dict[int, int]:
     """Servers that answered within so long, and how long ago that was."""
     return {
-        b.id: now - b.seen
+        b.id: now - b.last_outcome_at
         for b in balancer.backends.values()
-        if b.seen and now - b.seen <= within and not b.strikes and not b.errs
+        if b.last_outcome_at
+        and now - b.last_outcome_at <= within
+        and not b.consecutive_failures
+        and not b.error_fraction
     }
--- a/flinthatch/simulator_adapter.py
+++ b/flinthatch/simulator_adapter.py
@@ -254,7 +254,7 @@
             if number not in self.lists:
                 raise ProtocolError(f"list {number} was never given")
             entries = self.lists[number]
-        self.call(inst, "on_members", now, Update(mode), entries)
+        self.call(inst, "on_backend_list", now, Update(mode), entries)
         return at + 12
 
     def stop(self, now: int, body: bytes, at: int) -> int:
@@ -264,12 +264,12 @@
 
     def left(self, now: int, body: bytes, at: int) -> int:
         _, inst, request = EV_LEFT.unpack_from(body, at)
-        self.call(inst, "on_gone", now, request)
+        self.call(inst, "on_client_gone", now, request)
         return at + 9
 
     def started(self, now: int, body: bytes, at: int) -> int:
         _, inst, request, attempt, _backend, taken = EV_STARTED.unpack_from(body, at)
-        self.call(inst, "on_started", now, request, attempt, taken)
+        self.call(inst, "on_response_started", now, request, attempt, taken)
         return at + 23
 
     def resolved(self, now: int, body: bytes, at: int) -> int:
--- a/standins/fleet/inject/sitecustomize.py
+++ b/standins/fleet/inject/sitecustomize.py
@@ -110,7 +110,7 @@
 
 def module(module: Any) -> None:
     if "given-up" in WITHOUT:
-        module.MAY_WORK = ()
+        module.OUTCOMES_MAY_STILL_RUN = ()
 
 
 PATCHES = {
--- a/standins/mass/fleet.py
+++ b/standins/mass/fleet.py
@@ -32,18 +32,18 @@
     """What a node asks for its decisions: the events of `flinthatch.Balancer`."""
 
     def start(self, now: int) -> None: ...
-    def on_members(self, now: int, update: Update, rows: Sequence[Listing] = ()) -> None: ...
+    def on_backend_list(self, now: int, update: Update, rows: Sequence[Listing] = ()) -> None: ...
     def on_request(
         self,
         now: int,
         request: int,
         cls: int,
-        left: int,
+        time_left: int,
         tenant: int = 0,
         key: int = 0,
         hint: int = 0,
         client_retry: bool = False,
-        waited: int = 0,
+        read_delay: int = 0,
     ) -> None: ...  # fmt: skip
     def on_outcome(
         self,
@@ -51,13 +51,13 @@
         request: int,
         attempt: int,
         outcome: int,
-        taken: int,
-        done: bool,
+        duration: int,
+        answered: bool,
         load: Sequence[float] = (),
     ) -> None: ...  # fmt: skip
-    def on_gone(self, now: int, request: int) -> None: ...
-    def on_half_closed(self, now: int, request: int) -> None: ...
-    def may_begin(self, now: int, request: int, attempt: int) -> bool: ...
+    def on_client_gone(self, now: int, request: int) -> None: ...
+    def on_client_half_closed(self, now: int, request: int) -> None: ...
+    def may_start_attempt(self, now: int, request: int, attempt: int) -> bool: ...
     def on_timer(self, now: int, token: int) -> None: ...
 
 
@@ -167,7 +167,9 @@
         self.policy = fleet.maker(settings, seed, self, fleet, self.number)
         self.policy.start(fleet.clock.now)
         self.roster = {row.server: row for row in rows}
-        self.policy.on_members(fleet.clock.now, Update.CACHED, [fleet.listing_of(r) for r in rows])
+        self.policy.on_backend_list(
+            fleet.clock.now, Update.CACHED, [fleet.listing_of(r) for r in rows]
+        )
         fleet.clock.after(SWEEP, self.sweep, self.life)
 
     def kill(self) -> None:
@@ -267,7 +269,7 @@
             t.connected = True
             fleet.handshakes += 1
             asked = t.asked
-            if self.policy.may_begin(fleet.clock.now, asked.id, asked.attempts.index(t)):
+            if self.policy.may_start_attempt(fleet.clock.now, asked.id, asked.attempts.index(t)):
                 self.arrive(t, server.build.handshake)
             else:
                 t.connected = False
@@ -417,7 +419,7 @@
             after = self.times.delay_after_failure(hung)
             if after is None:
                 self.watching = False
-                self.policy.on_members(now, Update.FAILED, ())
+                self.policy.on_backend_list(now, Update.FAILED, ())
             else:
                 self.watch_after(after)
             return
@@ -432,7 +434,7 @@
         for row in answer.rows:
             self.hear(row)
         update = Update.FULL if answer.whole else Update.DELTA
-        self.policy.on_members(now, update, [fleet.listing_of(row) for row in answer.rows])
+        self.policy.on_backend_list(now, update, [fleet.listing_of(row) for row in answer.rows])
         if self.watching:
             self.watch_after(self.times.delay_after_answer(lasted / SECOND, news))
 
@@ -599,7 +601,7 @@
         asked.left_at = self.clock.now
         self.left += 1
         self.left_waiting += not asked.attempts
-        asked.node.policy.on_half_closed(self.clock.now, asked.id)
+        asked.node.policy.on_client_half_closed(self.clock.now, asked.id)
 
     def overdue(self, asked: Asked) -> None:
         if asked.ended:
@@ -609,7 +611,7 @@
         asked.node.end(asked)
         self.fate(asked.chain, "overdue")
         if asked.node.alive:
-            asked.node.policy.on_gone(self.clock.now, asked.id)
+            asked.node.policy.on_client_gone(self.clock.now, asked.id)
 
     # ---- the rules ------------------------------------------------------
 
--- a/standins/mass/policies.py
+++ b/standins/mass/policies.py
@@ -37,7 +37,7 @@
     def start(self, now: int) -> None:
         self.actions.watch()
 
-    def on_members(self, now: int, update: Update, rows: Sequence[Listing] = ()) -> None:
+    def on_backend_list(self, now: int, update: Update, rows: Sequence[Listing] = ()) -> None:
         if update in (Update.FULL, Update.CACHED):
             self.ready = {}
         for row in rows:
@@ -49,32 +49,32 @@
             self.actions.set_timer(WAKE, now + 1000 * MS + self.random.randrange(1000 * MS))
 
     def on_request(
-        self, now: int, request: int, cls: int, left: int, tenant: int = 0, key: int = 0,
-        hint: int = 0, client_retry: bool = False, waited: int = 0,
+        self, now: int, request: int, cls: int, time_left: int, tenant: int = 0, key: int = 0,
+        hint: int = 0, client_retry: bool = False, read_delay: int = 0,
     ) -> None:  # fmt: skip
         if self.ready:
             backend = self.random.choice(sorted(self.ready))
-            self.actions.send(request, backend, left)
+            self.actions.send(request, backend, time_left)
         else:
             self.actions.refuse(request, 0)
 
     def on_outcome(
-        self, now: int, request: int, attempt: int, outcome: int, taken: int, done: bool,
+        self, now: int, request: int, attempt: int, outcome: int, duration: int, answered: bool,
         load: Sequence[float] = (),
     ) -> None:  # fmt: skip
-        if not done:
+        if not answered:
             if outcome in NEVER_RAN:
                 self.actions.refuse(request, 0)
             else:
                 self.actions.fail(request)
 
-    def on_gone(self, now: int, request: int) -> None:
+    def on_client_gone(self, now: int, request: int) -> None:
         pass
 
-    def on_half_closed(self, now: int, request: int) -> None:
+    def on_client_half_closed(self, now: int, request: int) -> None:
         """It goes on: what it serves then is nobody's."""
 
-    def may_begin(self, now: int, request: int, attempt: int) -> bool:
+    def may_start_attempt(self, now: int, request: int, attempt: int) -> bool:
         return True
 
     def on_timer(self, now: int, token: int) -> None:
@@ -131,11 +131,11 @@
         return best
 
     def on_request(
-        self, now: int, request: int, cls: int, left: int, tenant: int = 0, key: int = 0,
-        hint: int = 0, client_retry: bool = False, waited: int = 0,
+        self, now: int, request: int, cls: int, time_left: int, tenant: int = 0, key: int = 0,
+        hint: int = 0, client_retry: bool = False, read_delay: int = 0,
     ) -> None:  # fmt: skip
-        aim_at = now + min(self.settings.classes[cls].latency_target, left)
-        wish = Wish(request, cls, aim_at, now + left)
+        aim_at = now + min(self.settings.classes[cls].latency_target, time_left)
+        wish = Wish(request, cls, aim_at, now + time_left)
         self.out[request] = wish
         self.waiting.append(wish)
         self.go(now)
@@ -173,13 +173,13 @@
             self.actions.refuse(wish.id, 0)
 
     def on_outcome(
-        self, now: int, request: int, attempt: int, outcome: int, taken: int, done: bool,
+        self, now: int, request: int, attempt: int, outcome: int, duration: int, answered: bool,
         load: Sequence[float] = (),
     ) -> None:  # fmt: skip
         wish = self.out.get(request)
         if wish is None:
             return
-        if done:
+        if answered:
             del self.out[request]
             return
         wish.ran = wish.ran or outcome not in NEVER_RAN
@@ -190,7 +190,7 @@
             self.waiting.appendleft(wish)
             self.go(now)
 
-    def on_gone(self, now: int, request: int) -> None:
+    def on_client_gone(self, now: int, request: int) -> None:
         self.out.pop(request, None)
 
     def on_timer(self, now: int, token: int) -> None:
--- a/tansywood/service/sharing.py
+++ b/tansywood/service/sharing.py
@@ -89,8 +89,8 @@
     balancer = hosted.node.balancer
     held = module.count_occupied_slots(balancer)
     ready = max(sum(1 for b in balancer.backends.values() if b.state == 1), 1)
-    waiting = balancer.waiting + balancer.waiting_over
-    each = -(-int(HEADROOM * (balancer.running + waiting)) // ready) + 1 if busy else 0
+    waiting = balancer.waiting + balancer.waiting_low_priority
+    each = -(-int(HEADROOM * (balancer.in_flight + waiting)) // ready) + 1 if busy else 0
     return {name: (each, held.get(n, 0)) for name, n in numbers(hosted.settings).items()}
 
 
@@ -187,11 +187,17 @@
         self.told[name] = row
         same = known is not None and all(known[k] == row[k] for k in ("rate", "open", "places"))
         balancer = hosted.node.balancer
-        if same and balancer.instances == self.instances and time.monotonic_ns() < row["until"]:
+        if (
+            same
+            and balancer.instance_count == self.instances
+            and time.monotonic_ns() < row["until"]
+        ):
             # The usual news: the same for longer. Where it had lapsed it is put in force anew.
             bucket: Bucket | None = hosted.server.bucket
-            if balancer.lapse_at != NEVER and (bucket is None or bucket.extend(row["until"])):
-                balancer.lapse_at = row["until"]
+            if balancer.grant_expires_at != NEVER and (
+                bucket is None or bucket.extend(row["until"])
+            ):
+                balancer.grant_expires_at = row["until"]
                 return
         self.again(hosted)
 
@@ -200,9 +206,9 @@
         that is put off again and again would stay out."""
         node: Node = hosted.node
         b = node.balancer.backends.get(server)
-        if b is None or self._waited.get((hosted.uid, server)) == b.backoff:
+        if b is None or self._waited.get((hosted.uid, server)) == b.ejection_backoff:
             return
-        self._waited[hosted.uid, server] = b.backoff
+        self._waited[hosted.uid, server] = b.ejection_backoff
         with entered(node) as now:
             module.extend_ejection(node.balancer, now, server, until)
 
--- a/tansywood/service/worker.py
+++ b/tansywood/service/worker.py
@@ -242,7 +242,7 @@
         """What other instances use of its limits, and a limit that holds at each server."""
         if self.sharing is not None:
             self.sharing.again(hosted)
-        elif hosted.settings.limits.places or hosted.node.balancer.places is not None:
+        elif hosted.settings.limits.places or hosted.node.balancer.granted_slots is not None:
             apply(hosted, whole(hosted.settings))
 
     # ---- time ----------------------------------------------------------------------------------
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -8,19 +8,19 @@
 SECOND = 1_000_000_000
 
 
-class Host:
+class RecordingHost:
     """Records actions in order; `calls` holds tuples with the action's name first."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[object, ...]] = []
-        self.waits: list[int] = []  # what refused clients were told
+        self.retry_afters: list[int] = []  # what refused clients were told
 
     def send(self, request: int, backend: int, timeout: int) -> None:
         self.calls.append(("send", request, backend, timeout))
 
     def refuse(self, request: int, retry_after: int) -> None:
         self.calls.append(("refuse", request))
-        self.waits.append(retry_after)
+        self.retry_afters.append(retry_after)
 
     def fail(self, request: int) -> None:
         self.calls.append(("fail", request))
@@ -43,7 +43,7 @@
     def log(self, text: str) -> None:
         self.calls.append(("log", text))
 
-    def named(self, name: str) -> list[tuple[object, ...]]:
+    def calls_named(self, name: str) -> list[tuple[object, ...]]:
         return [c for c in self.calls if c[0] == name]
 
 
@@ -52,15 +52,17 @@
 KEYED = RequestClass("keyed", 200 * MS, 1000 * MS, Effect.TOKEN, retry_window=60 * MS)
 
 
-def rows(count: int, zone: int = 0, first: int = 100) -> list[Listing]:
+def ready_listings(count: int, zone: int = 0, first: int = 100) -> list[Listing]:
     return [Listing(first + i, State.READY, zone) for i in range(count)]
 
 
-def build(settings: Settings | None = None, count: int = 4, seed: int = 1) -> tuple[Balancer, Host]:
-    host = Host()
+def build_balancer(
+    settings: Settings | None = None, count: int = 4, seed: int = 1
+) -> tuple[Balancer, RecordingHost]:
+    host = RecordingHost()
     balancer = Balancer(
         settings or Settings(classes=(PURE, UNSAFE, KEYED), max_attempts=4), seed, host
     )
     balancer.start(0)
-    balancer.on_members(0, Update.CACHED, rows(count))
+    balancer.on_backend_list(0, Update.CACHED, ready_listings(count))
     return balancer, host
--- a/tests/fleet/test_limits_lent.py
+++ b/tests/fleet/test_limits_lent.py
@@ -14,17 +14,17 @@
     Update,
     shared_limits,
 )
-from flinthatch.balancer import NEVER, RETRY_BURST
+from flinthatch.balancer import NEVER, RETRY_BUDGET_BURST_COUNT
 from tansywood.tenancy.limits import SECOND, Bucket
-from tests.fakes import Host
+from tests.fakes import RecordingHost
 
 
-class Asked(Host):
+class Asked(RecordingHost):
     """What was sent, as request and server."""
 
     @property
     def sent(self) -> list[tuple[int, int]]:
-        return [(int(str(c[1])), int(str(c[2]))) for c in self.named("send")]
+        return [(int(str(c[1])), int(str(c[2]))) for c in self.calls_named("send")]
 
 
 def balancer(servers: Sequence[int] = (1, 2)) -> tuple[Balancer, Asked]:
@@ -32,7 +32,7 @@
     classes = (RequestClass("balance", 8 * SECOND, 9 * SECOND, Effect.PURE),)
     made = Balancer(Settings(classes), 1, host)
     made.start(0)
-    made.on_members(0, Update.FULL, [Listing(n, State.READY) for n in servers])
+    made.on_backend_list(0, Update.FULL, [Listing(n, State.READY) for n in servers])
     return made, host
 
 
@@ -78,22 +78,22 @@
     freed = next(r for r, s in host.sent if s == 2)
     b.on_outcome(101, freed, 0, 1, 1, True)
     assert len(host.sent) == 2
-    assert b.places == {1: 1}
+    assert b.granted_slots == {1: 1}
 
 
 def test_a_part_of_the_retries_and_of_a_cold_servers_trickle() -> None:
     b, _ = balancer()
     shared_limits.apply_limits(b, 0, None, instance_count=4, retry_share=0.25)
-    assert b.retry_most == RETRY_BURST / 4 >= b.retry_credit
-    assert b.instances == 4
+    assert b.max_retry_budget == RETRY_BUDGET_BURST_COUNT / 4 >= b.retry_budget
+    assert b.instance_count == 4
     row = b.backends[1]
-    row.cold_until = 8 * SECOND
-    b.pace(0, row)
+    row.slow_start_until = 8 * SECOND
+    b.pace_slow_start(0, row)
     assert (
-        row.rest_until == 4 * b.settings.overload_window
+        row.paused_until == 4 * b.settings.overload_window
     )  # a quarter of what one alone would send
     shared_limits.apply_limits(b, 0, None)
-    assert b.retry_most == RETRY_BURST
+    assert b.max_retry_budget == RETRY_BUDGET_BURST_COUNT
 
 
 def test_a_doubted_server_gets_one_at_a_time_and_is_never_taken_away() -> None:
@@ -131,7 +131,7 @@
     for n in range(20):
         b.on_request(0, n, 0, 9 * SECOND)
     assert len(host.sent) == 8  # four to a server, as its level begins
-    assert b.lapse_at == NEVER
+    assert b.grant_expires_at == NEVER
 
 
 def test_a_bucket_goes_down_before_it_lets_the_first_through() -> None:
--- a/tests/iso8583/test_mixed.py
+++ b/tests/iso8583/test_mixed.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from flinthatch.balancer import RETRY_BURST
+from flinthatch.balancer import RETRY_BUDGET_BURST_COUNT
 from standins.callers import Caller
 from standins.iso8583 import Way, request_id
 from standins.ledger import End, Ledger
@@ -100,7 +100,7 @@
                 # What a repeat costs of the budget goes by how long the attempt took: that is
                 # the machine's, so both begin each pair with all of it.
                 for node in (w.node, http.node):
-                    node.balancer.retry_credit = RETRY_BURST
+                    node.balancer.retry_budget = RETRY_BUDGET_BURST_COUNT
                 before = sum(len(s.seen) for s in w.servers), http.attempts()
                 message = terminal.message(kind, n + 1)
                 iso_end = await w.ask(terminal, message)
--- a/tests/iso8583/test_sockets.py
+++ b/tests/iso8583/test_sockets.py
@@ -91,7 +91,7 @@
                 asyncio.create_task(w.ask(terminal, terminal.message(amount=n)))
                 for n in range(1, 9)
             ]
-            while sum(len(s.seen) for s in w.servers) < min(8, w.node.balancer.total):
+            while sum(len(s.seen) for s in w.servers) < min(8, w.node.balancer.total_slots):
                 await asyncio.sleep(0.001)
             hit = max(w.servers, key=lambda s: len(s.seen))
             count = len(hit.seen)
--- a/tests/iso8583/test_terms.py
+++ b/tests/iso8583/test_terms.py
@@ -123,7 +123,7 @@
             assert [str((await answer).fields[39]) for answer in answers] == ["68", "68"]
             assert len(credits(server)) == 2
             (backend,) = w.node.balancer.backends.values()
-            assert not backend.ejected_until and backend.held == 0
+            assert not backend.ejected_until and backend.in_flight == 0
             server.hangs = False
             server.ways = {Way.ANSWER: 1.0}
             assert await code(one, one.message()) == APPROVED
--- a/tests/mass/test_fleet.py
+++ b/tests/mass/test_fleet.py
@@ -49,7 +49,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     assert refused(played(thin())) < 0.05
-    monkeypatch.setattr(decisions, "turn", lambda rank, _servers, _nodes: rank)
+    monkeypatch.setattr(decisions, "first_node", lambda rank, _servers, _nodes: rank)
     assert refused(played(thin())) > 0.12
 
 
@@ -61,7 +61,7 @@
 
 def test_late_tries_do_not_make_the_next_ones_late(monkeypatch: pytest.MonkeyPatch) -> None:
     with_it = played(crowded())
-    monkeypatch.setattr(decisions, "STRAIN", 0)
+    monkeypatch.setattr(decisions, "OVERLOAD_HOLD_NS", 0)
     without = played(crowded())
     late = "late by queue"
     assert with_it.fates[late] < 0.5 * without.fates[late]
@@ -113,7 +113,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     assert most_pushed(monkeypatch) < 0.9
-    monkeypatch.setattr(Balancer, "pace", lambda _self, _now, _backend: None)
+    monkeypatch.setattr(Balancer, "pace_slow_start", lambda _self, _now, _backend: None)
     assert most_pushed(monkeypatch) > 1.0
 
 
@@ -137,13 +137,13 @@
 
     Waits are short here, so the least is asked: past what the network takes nothing begins.
     """
-    monkeypatch.setattr(decisions, "GONE_AFTER", 0)
+    monkeypatch.setattr(decisions, "HALF_CLOSE_GRACE_NS", 0)
     day = draw("join", 4, nodes, servers=40, seconds=6.0, load=1.2)
     day = replace(day, clients=replace(day.clients, leaving=0.34), leave_grace=10 * MS)
     fleet = played(day)
     assert fleet.left > 50 and fleet.left_waiting > 10
     assert not fleet.late_begins and not fleet.broken
-    monkeypatch.setattr(Balancer, "on_half_closed", lambda _self, _now, _request: None)
+    monkeypatch.setattr(Balancer, "on_client_half_closed", lambda _self, _now, _request: None)
     assert played(day).late_begins > 3
 
 
@@ -186,13 +186,13 @@
 
 def test_nodes_do_not_solve_on_the_same_tick(monkeypatch: pytest.MonkeyPatch) -> None:
     ticks: Counter[int] = Counter()
-    cycle = Balancer.cycle
+    cycle = Balancer.run_cycle
 
     def noted(self: Balancer, now: int) -> None:
         ticks[now // (50 * MS)] += 1
         cycle(self, now)
 
-    monkeypatch.setattr(Balancer, "cycle", noted)
+    monkeypatch.setattr(Balancer, "run_cycle", noted)
     nodes = len(played(replace(thin(4), seconds=6.0)).hosts)
     assert max(ticks.values()) < 0.5 * nodes
     ticks.clear()
--- a/tests/service/test_hosted.py
+++ b/tests/service/test_hosted.py
@@ -210,8 +210,8 @@
         async def main() -> None:
             socks = [one.hand(ask("/credit/1", b"x")) for _ in range(6)]
             balancer = one.hosted.node.balancer
-            await one.until(lambda: len(one.server.seen) == balancer.total)
-            out = balancer.total
+            await one.until(lambda: len(one.server.seen) == balancer.total_slots)
+            out = balancer.total_slots
             waiting = balancer.waiting
             assert 0 < waiting == 6 - out
             one.change(SUSPENDED)
@@ -235,7 +235,9 @@
         async def main() -> None:
             socks = [one.hand(ask("/credit/1", b"x")) for _ in range(5)]
             balancer = one.hosted.node.balancer
-            await one.until(lambda: len(one.server.seen) == balancer.total and balancer.waiting)
+            await one.until(
+                lambda: len(one.server.seen) == balancer.total_slots and balancer.waiting
+            )
             one.change(DRAINING)
             one.server.go.set()
             for sock in socks:
@@ -253,7 +255,7 @@
 
         async def main() -> None:
             socks = [one.hand(ask("/credit/1", b"x")) for _ in range(6)]
-            await one.until(lambda: len(one.server.seen) == one.hosted.node.balancer.total)
+            await one.until(lambda: len(one.server.seen) == one.hosted.node.balancer.total_slots)
             last = one.hand(ask("/credit/1", b"x"))
             assert (await one.read(last)).startswith(b"HTTP/1.1 503 ")
             assert await one.read(last) == b""
--- a/tests/test_amend.py
+++ b/tests/test_amend.py
@@ -21,15 +21,15 @@
 )
 from flinthatch.reconfigure import RETIRED_PREFIX, reconfigure, refuse_waiting
 
-from .fakes import KEYED, MS, PURE, SECOND, UNSAFE, Host, build
+from .fakes import KEYED, MS, PURE, SECOND, UNSAFE, RecordingHost, build_balancer
 
 SAFE = replace(PURE, name="x")
 NEVER = replace(UNSAFE, name="x")
 WITH_KEY = replace(KEYED, name="x", retry_window=800 * MS)
 
 
-def one(spec: RequestClass, count: int = 4) -> tuple[Balancer, Host]:
-    return build(Settings(classes=(spec,), max_attempts=4), count)
+def one(spec: RequestClass, count: int = 4) -> tuple[Balancer, RecordingHost]:
+    return build_balancer(Settings(classes=(spec,), max_attempts=4), count)
 
 
 def changed(balancer: Balancer, now: int, *specs: RequestClass) -> dict[str, int]:
@@ -40,8 +40,8 @@
     balancer.on_request(now, request, cls, 900 * MS)
 
 
-def sends(host: Host, request: int) -> int:
-    return sum(call[1] == request for call in host.named("send"))
+def sends(host: RecordingHost, request: int) -> int:
+    return sum(call[1] == request for call in host.calls_named("send"))
 
 
 def test_a_class_made_unsafe_while_an_attempt_is_out_gets_no_repeat_and_no_refusal() -> None:
@@ -50,13 +50,13 @@
     changed(balancer, MS, NEVER)
     balancer.on_outcome(2 * MS, 1, 0, Outcome.RESET, 2 * MS, False)
     assert sends(host, 1) == 1
-    assert host.named("fail") == [("fail", 1)] and not host.named("refuse")
+    assert host.calls_named("fail") == [("fail", 1)] and not host.calls_named("refuse")
 
 
 def test_a_class_made_unsafe_while_a_repeat_waits_sends_none() -> None:
     balancer, host = one(SAFE, count=1)
-    while balancer.running < balancer.total:
-        ask(balancer, 0, 100 + balancer.running)
+    while balancer.in_flight < balancer.total_slots:
+        ask(balancer, 0, 100 + balancer.in_flight)
     first = 100
     balancer.on_outcome(MS, first, 0, Outcome.ERROR, MS, False)  # its repeat may go at once
     waiting = [r for r in balancer.requests.values() if r.queued and r.attempts]
@@ -67,10 +67,10 @@
     changed(balancer, 2 * MS, NEVER)
     for r in list(balancer.requests.values()):
         for number, attempt in enumerate(r.attempts):
-            if attempt.open:
+            if attempt.is_open:
                 balancer.on_outcome(3 * MS, r.id, number, Outcome.ERROR, MS, False)
     assert sends(host, first) == before
-    assert not any(call[1] == first for call in host.named("refuse"))
+    assert not any(call[1] == first for call in host.calls_named("refuse"))
 
 
 def test_a_class_made_safe_leaves_what_was_taken_before_unsafe() -> None:
@@ -78,7 +78,7 @@
     ask(balancer, 0, 1)
     numbers = changed(balancer, MS, SAFE)
     balancer.on_outcome(2 * MS, 1, 0, Outcome.RESET, 2 * MS, False)
-    assert sends(host, 1) == 1 and host.named("fail") == [("fail", 1)]
+    assert sends(host, 1) == 1 and host.calls_named("fail") == [("fail", 1)]
     ask(balancer, 3 * MS, 2, numbers["x"])
     balancer.on_outcome(4 * MS, 2, 0, Outcome.RESET, MS, False)
     assert sends(host, 2) == 2
@@ -91,11 +91,13 @@
     changed(balancer, MS, SAFE)
     changed(balancer, 2 * MS, NEVER)
     balancer.on_outcome(3 * MS, 1, 0, Outcome.RESET, 3 * MS, False)
-    assert sends(host, 1) == 1 and host.named("fail") == [("fail", 1)]
+    assert sends(host, 1) == 1 and host.calls_named("fail") == [("fail", 1)]
 
 
 def test_a_class_taken_out_ends_what_it_holds_and_is_forgotten() -> None:
-    balancer, host = build(Settings(classes=(SAFE, replace(UNSAFE, name="y")), max_attempts=4))
+    balancer, host = build_balancer(
+        Settings(classes=(SAFE, replace(UNSAFE, name="y")), max_attempts=4)
+    )
     ask(balancer, 0, 1, 0)
     numbers = changed(balancer, MS, replace(UNSAFE, name="y"))
     assert list(numbers) == ["y"] and len(balancer.classes) == 2
@@ -104,18 +106,18 @@
     numbers = changed(balancer, 4 * MS, replace(UNSAFE, name="y"))
     assert len(balancer.classes) == 1 and numbers == {"y": 0}
     balancer.on_outcome(5 * MS, 2, 0, Outcome.OK, 3 * MS, True)
-    assert balancer.running == 0 and balancer.classes[0].running == 0
+    assert balancer.in_flight == 0 and balancer.classes[0].in_flight == 0
     assert not balancer.requests
 
 
 def test_what_waits_in_a_class_that_is_taken_out_is_still_served() -> None:
     balancer, host = one(SAFE, count=1)
-    ids = range(1, balancer.total + 3)
+    ids = range(1, balancer.total_slots + 3)
     for request in ids:
         ask(balancer, 0, request)
     assert balancer.waiting == 2
     changed(balancer, MS, replace(UNSAFE, name="y"))
-    for request in range(1, balancer.total + 1):
+    for request in range(1, balancer.total_slots + 1):
         balancer.on_outcome(2 * MS, request, 0, Outcome.OK, 2 * MS, True)
     assert all(sends(host, request) == 1 for request in ids) and not balancer.waiting
 
@@ -127,21 +129,21 @@
         ask(balancer, now, request)
         balancer.on_outcome(now + 7 * MS, request, 0, Outcome.OK, 7 * MS, True)
     ask(balancer, SECOND, 99)
-    lat = balancer.classes[0].lat
+    lat = balancer.classes[0].mean_latency
     numbers = changed(balancer, SECOND, SAFE)
-    assert numbers["x"] == 1 and balancer.classes[1].lat == lat
+    assert numbers["x"] == 1 and balancer.classes[1].mean_latency == lat
 
 
 def test_what_waits_is_answered_at_once_where_a_tenant_is_stopped() -> None:
     balancer, host = one(NEVER, count=1)
-    total = balancer.total
+    total = balancer.total_slots
     for request in range(total + 3):
         ask(balancer, 0, request)
     assert refuse_waiting(balancer, MS) == 3
-    assert len(host.named("refuse")) == 3 and not balancer.waiting
+    assert len(host.calls_named("refuse")) == 3 and not balancer.waiting
     for request in range(total):
         balancer.on_outcome(2 * MS, request, 0, Outcome.OK, 2 * MS, True)
-    assert balancer.running == 0 and not balancer.requests
+    assert balancer.in_flight == 0 and not balancer.requests
 
 
 @pytest.mark.parametrize("name", ["node", "balancers", "zones", "ask"])
@@ -171,7 +173,7 @@
     )
 
 
-class Watcher(Host):
+class Watcher(RecordingHost):
     """The callers and servers of a run: every rule that a request met, held against each act."""
 
     def __init__(self) -> None:
@@ -222,7 +224,7 @@
     balancer = Balancer(settings, seed, host)
     balancer.start(0)
     servers = {100 + i: State.READY for i in range(3)}
-    balancer.on_members(0, Update.CACHED, [Listing(b, s) for b, s in servers.items()])
+    balancer.on_backend_list(0, Update.CACHED, [Listing(b, s) for b, s in servers.items()])
     numbers = {name: i for i, name in enumerate(classes)}
     rid = now = 0
     live: dict[int, str] = {}
@@ -276,11 +278,11 @@
                 servers[backend] = state
                 host.gone = {b for b, s in servers.items() if s != State.READY}
                 rows = [Listing(b, s) for b, s in servers.items()]
-                balancer.on_members(now, Update.FULL, rows)
+                balancer.on_backend_list(now, Update.FULL, rows)
         else:
             refuse_waiting(balancer, now)
-        held = [b.held for b in balancer.backends.values()]
-        assert sum(held) == balancer.running == len(host.out)
+        held = [b.in_flight for b in balancer.backends.values()]
+        assert sum(held) == balancer.in_flight == len(host.out)
     # Everything comes to its end: outcomes, then time.
     for key, sent in list(host.out.items()):
         host.out.pop(key)
@@ -297,7 +299,7 @@
         for token in (1, 2):
             balancer.on_timer(now, token)
     assert set(host.ended) == set(live), "each request has one answer"
-    assert not balancer.requests and not balancer.running and not balancer.waiting
+    assert not balancer.requests and not balancer.in_flight and not balancer.waiting
     assert len(balancer.classes) <= len(classes) + 4
     reconfigure(balancer, now, replace(balancer.settings, classes=tuple(classes.values())))
     assert not any(c.spec.name.startswith(RETIRED_PREFIX) for c in balancer.classes)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -17,7 +17,7 @@
 from windrelay.server import ClientConnection
 from windrelay.upstream import MAX_BUFFERED_BODY_BYTES
 
-from .fakes import MS, PURE, SECOND, UNSAFE, build
+from .fakes import MS, PURE, SECOND, UNSAFE, build_balancer
 from .harness import (
     HANG_TIMEOUT_S,
     Peer,
@@ -344,28 +344,35 @@
 
 
 def test_an_answer_that_has_begun_frees_its_slot_and_counts_once() -> None:
-    balancer, host = build(Settings(classes=(PURE, UNSAFE), max_attempts=4), count=1)
+    balancer, host = build_balancer(Settings(classes=(PURE, UNSAFE), max_attempts=4), count=1)
     b = balancer.backends[100]
-    for i in range(b.cap + 1):
+    for i in range(b.slot_limit + 1):
         balancer.on_request(0, i, 0, SECOND)
-    assert b.held == b.cap == balancer.running
-    balancer.on_started(20 * MS, 0, 0, 20 * MS)
-    assert len(host.named("send")) == b.cap + 1  # the one that waited
-    balancer.on_started(21 * MS, 0, 0, 21 * MS)  # told twice
-    assert b.held == balancer.running == b.cap
-    seen = balancer.classes[0].lat_n
+    assert b.in_flight == b.slot_limit == balancer.in_flight
+    balancer.on_response_started(20 * MS, 0, 0, 20 * MS)
+    assert len(host.calls_named("send")) == b.slot_limit + 1  # the one that waited
+    balancer.on_response_started(21 * MS, 0, 0, 21 * MS)  # told twice
+    assert b.in_flight == balancer.in_flight == b.slot_limit
+    seen = balancer.classes[0].latency_count
     balancer.on_outcome(SECOND, 0, 0, 1, 20 * MS, True)
-    assert b.held == balancer.running == b.cap and balancer.classes[0].lat_n == seen
+    assert (
+        b.in_flight == balancer.in_flight == b.slot_limit
+        and balancer.classes[0].latency_count == seen
+    )
     assert 0 not in balancer.requests
 
 
 def test_an_answer_that_was_cut_is_neither_repeated_nor_refused() -> None:
-    balancer, host = build(Settings(classes=(PURE,), max_attempts=4), count=2)
+    balancer, host = build_balancer(Settings(classes=(PURE,), max_attempts=4), count=2)
     balancer.on_request(0, 0, 0, SECOND)
-    balancer.on_started(MS, 0, 0, MS)
+    balancer.on_response_started(MS, 0, 0, MS)
     balancer.on_outcome(2 * MS, 0, 0, 2, MS, True)
-    assert len(host.named("send")) == 1 and not host.named("refuse") and not host.named("fail")
-    assert balancer.running == 0 and all(b.held == 0 for b in balancer.backends.values())
+    assert (
+        len(host.calls_named("send")) == 1
+        and not host.calls_named("refuse")
+        and not host.calls_named("fail")
+    )
+    assert balancer.in_flight == 0 and all(b.in_flight == 0 for b in balancer.backends.values())
 
 
 # ---- requests -------------------------------------------------------------
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -17,7 +17,7 @@
 from windrelay.management import LINE_MOST, MOST, CallError, carry_out
 from windrelay.upstream import BackendConnection
 
-from .fakes import MS, PURE, SECOND, UNSAFE, Host, build, rows
+from .fakes import MS, PURE, SECOND, UNSAFE, RecordingHost, build_balancer, ready_listings
 from .harness import (
     HANG_TIMEOUT_S,
     Peer,
@@ -35,12 +35,14 @@
 # ---- the module ---------------------------------------------------------
 
 
-def sends(host: Host) -> list[object]:
-    return [call[2] for call in host.named("send")]
+def sends(host: RecordingHost) -> list[object]:
+    return [call[2] for call in host.calls_named("send")]
 
 
-def built(count: int = 3, cold: int = 8 * SECOND) -> tuple[Balancer, Host]:
-    return build(Settings(classes=(PURE, UNSAFE), max_attempts=4, slow_start=cold), count=count)
+def built(count: int = 3, cold: int = 8 * SECOND) -> tuple[Balancer, RecordingHost]:
+    return build_balancer(
+        Settings(classes=(PURE, UNSAFE), max_attempts=4, slow_start=cold), count=count
+    )
 
 
 def ask(balancer: Balancer, now: int, count: int, first: int = 0) -> None:
@@ -55,7 +57,7 @@
     balancer.ban(0, 100)  # calls out may be repeated
     if update != Update.FAILED:
         boot = 1 * SECOND  # even a start that is told anew
-        balancer.on_members(SECOND, update, [r._replace(boot=boot) for r in rows(3)])
+        balancer.on_backend_list(SECOND, update, [r._replace(boot=boot) for r in ready_listings(3)])
     ask(balancer, 2 * SECOND, 20)
     assert 100 not in sends(host) and sends(host)
 
@@ -63,9 +65,9 @@
 def test_a_ban_outlives_the_backend_and_binds_the_one_that_comes_back_under_its_id() -> None:
     balancer, host = built()
     balancer.ban(0, 100)
-    balancer.on_members(0, Update.DELTA, [Listing(100, State.GONE)])
+    balancer.on_backend_list(0, Update.DELTA, [Listing(100, State.GONE)])
     assert 100 not in balancer.backends
-    balancer.on_members(SECOND, Update.DELTA, [Listing(100, State.READY)])
+    balancer.on_backend_list(SECOND, Update.DELTA, [Listing(100, State.READY)])
     ask(balancer, SECOND, 20)
     assert 100 not in sends(host)
 
@@ -76,9 +78,9 @@
     balancer.ban(0, 100)
     ask(balancer, 0, 1)
     assert not sends(host)
-    balancer.lift(MS, 100)
+    balancer.lift_ban(MS, 100)
     assert sends(host) == [100]  # what waited is served
-    assert balancer.backends[100].cold_until == MS + 8 * SECOND
+    assert balancer.backends[100].slow_start_until == MS + 8 * SECOND
     ask(balancer, MS, 3, first=1)
     assert sends(host) == [100]  # and not all at once
     balancer.on_timer(MS + 2 * SECOND, TIMER_WAKE)
@@ -86,16 +88,16 @@
 
 def test_a_call_back_without_a_ban_does_not_make_a_backend_cold() -> None:
     balancer, _ = built()
-    balancer.lift(0, 100)
-    balancer.lift(0, 999)
-    assert balancer.backends[100].cold_until == 0
+    balancer.lift_ban(0, 100)
+    balancer.lift_ban(0, 999)
+    assert balancer.backends[100].slow_start_until == 0
 
 
 def test_a_call_back_of_one_that_drains_meanwhile_leaves_it_alone() -> None:
     balancer, host = built()
     balancer.ban(0, 100)
-    balancer.on_members(0, Update.DELTA, [Listing(100, State.DRAINING)])
-    balancer.lift(0, 100)
+    balancer.on_backend_list(0, Update.DELTA, [Listing(100, State.DRAINING)])
+    balancer.lift_ban(0, 100)
     ask(balancer, 0, 20)
     assert 100 not in sends(host)
 
@@ -105,17 +107,19 @@
     ask(balancer, 0, 1)
     balancer.ban(0, 100)
     balancer.on_outcome(MS, 0, 0, 1, MS, True)
-    assert not host.named("fail") and not host.named("refuse") and balancer.running == 0
+    assert (
+        not host.calls_named("fail") and not host.calls_named("refuse") and balancer.in_flight == 0
+    )
 
 
 def test_a_ban_of_a_backend_ejected_keeps_the_count_of_those() -> None:
     balancer, _ = built(count=4)
     balancer.eject(0, balancer.backends[100], "test")
-    assert balancer.ejected == 1
+    assert balancer.ejected_count == 1
     balancer.ban(0, 100)
-    assert balancer.ejected == 0
-    balancer.lift(0, 100)
-    assert balancer.ejected == 0 and balancer.backends[100].state == State.READY
+    assert balancer.ejected_count == 0
+    balancer.lift_ban(0, 100)
+    assert balancer.ejected_count == 0 and balancer.backends[100].state == State.READY
 
 
 # ---- the words ----------------------------------------------------------
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -14,11 +14,11 @@
 import pytest
 
 from flinthatch import Outcome
-from flinthatch.balancer import GONE_AFTER
+from flinthatch.balancer import HALF_CLOSE_GRACE_NS
 from windrelay import upstream as windrelay_upstream
 from windrelay.upstream import BackendConnection
 
-from .fakes import MS, build
+from .fakes import MS, build_balancer
 from .harness import SETTINGS, answer
 from .harness import request as any_request
 from .race_harness import Crossing, ScriptedPeer, crossing, drive
@@ -92,9 +92,9 @@
         async def story() -> None:
             client = w.client(request(rid="left"))
             held = w.node.balancer
-            await w.until(lambda: any(b.held for b in held.backends.values()))
+            await w.until(lambda: any(b.in_flight for b in held.backends.values()))
             roster = w.node.discovery.backend_list.endpoints
-            (busy,) = (b.id for b in held.backends.values() if b.held)
+            (busy,) = (b.id for b in held.backends.values() if b.in_flight)
             port = roster[busy].port
             number = [s.getsockname()[1] for s in w.servers].index(port)
             server = await w.server(number)
@@ -102,7 +102,7 @@
             getattr(client, how)()
             await w.until(
                 lambda: not w.node.open_request_count
-                or any(r.half_closed for r in held.requests.values())
+                or any(r.half_closed_at for r in held.requests.values())
             )
             server.send(TURNED_AWAY)  # it never ran, and would go to the other one
             await w.until(lambda: not w.node.requests)
@@ -110,8 +110,8 @@
                 assert await client.status() == 503
             # What the other server gets first is the next client's.
             other = w.client(request(rid="stays"))
-            await w.until(lambda: any(b.held for b in held.backends.values()))
-            if not held.backends[busy].held:
+            await w.until(lambda: any(b.in_flight for b in held.backends.values()))
+            if not held.backends[busy].in_flight:
                 server = await w.server(1 - number)
             assert (await server.message())[1]["x-request-id"] == "stays"
             server.send(answer(b"1"))
@@ -139,8 +139,8 @@
         def may_begin(a: Any) -> bool:
             """A tenth of a second later than it is."""
             r = w.node.balancer.requests.get(a.request.id)
-            if r is not None and r.half_closed:
-                r.half_closed -= 100 * MS
+            if r is not None and r.half_closed_at:
+                r.half_closed_at -= 100 * MS
                 late[0] += 1
             return real(a)
 
@@ -152,7 +152,7 @@
             getattr(leaver, how)()
             await w.until(
                 lambda: not w.node.open_request_count
-                or any(r.half_closed for r in w.node.balancer.requests.values())
+                or any(r.half_closed_at for r in w.node.balancer.requests.values())
             )
             inner(*made.pop())
             await w.until(lambda: not w.node.requests)
@@ -198,7 +198,7 @@
             while len(client.buffer) < 50_000:
                 assert await client.receive()
             client.half_close()
-            await w.until(lambda: any(r.half_closed for r in w.node.balancer.requests.values()))
+            await w.until(lambda: any(r.half_closed_at for r in w.node.balancer.requests.values()))
             server.send(bytes(100_000))
             assert (await client.read_to_end()).count(b"\0") == size
 
@@ -214,13 +214,13 @@
             await w.until(lambda: w.node.balancer.waiting == 1)
             crowd = [w.client(request()) for _ in range(40)]
             await w.until(lambda: w.node.balancer.waiting == 41)
-            refused = sum(c.refused for c in w.node.balancer.classes)
+            refused = sum(c.refused_count for c in w.node.balancer.classes)
             for one in crowd:
                 one.half_close()
             for one in crowd:
                 assert await one.status() == 503
             # They were not turned away for want of servers: the shares take no notice.
-            assert sum(c.refused for c in w.node.balancer.classes) == refused
+            assert sum(c.refused_count for c in w.node.balancer.classes) == refused
             busy[0].send(answer(b"1"))
             assert (await busy[0].message())[1]["x-request-id"] == "first"
             for server in busy:
@@ -247,39 +247,41 @@
     ],
 )
 def test_the_outcome_of_what_is_out_is_the_answer(cls: int, outcome: Outcome, ends: str) -> None:
-    balancer, host = build()
+    balancer, host = build_balancer()
     balancer.on_request(0, 1, cls, 900 * MS)
-    balancer.on_half_closed(MS, 1)
-    balancer.on_half_closed(2 * MS, 1)
-    assert len(host.named("send")) == 1 and not host.named("refuse")
+    balancer.on_client_half_closed(MS, 1)
+    balancer.on_client_half_closed(2 * MS, 1)
+    assert len(host.calls_named("send")) == 1 and not host.calls_named("refuse")
     balancer.on_outcome(3 * MS, 1, 0, outcome, 3 * MS, False)
-    assert host.calls[-1] == (ends, 1) and len(host.named("send")) == 1
+    assert host.calls[-1] == (ends, 1) and len(host.calls_named("send")) == 1
     assert not balancer.requests
 
 
-@pytest.mark.parametrize(("after", "may"), [(0, True), (GONE_AFTER, True), (GONE_AFTER + 1, False)])
+@pytest.mark.parametrize(
+    ("after", "may"), [(0, True), (HALF_CLOSE_GRACE_NS, True), (HALF_CLOSE_GRACE_NS + 1, False)]
+)
 def test_a_dial_begins_no_attempt_long_after_a_half_close(after: int, may: bool) -> None:
-    balancer, _ = build()
+    balancer, _ = build_balancer()
     balancer.on_request(0, 1, 0, 900 * MS)
-    assert balancer.may_begin(5 * MS, 1, 0)
-    balancer.on_half_closed(10 * MS, 1)
-    assert balancer.may_begin(10 * MS + after, 1, 0) is may
+    assert balancer.may_start_attempt(5 * MS, 1, 0)
+    balancer.on_client_half_closed(10 * MS, 1)
+    assert balancer.may_start_attempt(10 * MS + after, 1, 0) is may
 
 
 def test_a_keyed_repeat_whose_dial_outlasts_the_servers_memory_does_not_begin() -> None:
-    balancer, host = build()
+    balancer, host = build_balancer()
     window = balancer.classes[2].spec.retry_window
     balancer.on_request(0, 1, 2, 900 * MS)
     balancer.on_outcome(10 * MS, 1, 0, Outcome.RESET, 10 * MS, False)
-    assert len(host.named("send")) == 2  # in time when it was sent
-    assert balancer.may_begin(window - 1, 1, 1)
-    assert not balancer.may_begin(window, 1, 1)
+    assert len(host.calls_named("send")) == 2  # in time when it was sent
+    assert balancer.may_start_attempt(window - 1, 1, 1)
+    assert not balancer.may_start_attempt(window, 1, 1)
 
 
 def test_in_no_order_of_events_does_an_attempt_begin_after_its_client_left() -> None:
     for seed in range(300):
         rng = Random(seed)
-        balancer, host = build(count=2, seed=seed)
+        balancer, host = build_balancer(count=2, seed=seed)
         now = 0
         gone: dict[int, list[tuple[object, ...]]] = {}
         left: dict[int, int] = {}
@@ -298,19 +300,19 @@
             what = rng.choice(["leave", "gone", "end", "end", "time"])
             order.append(f"{now} {what} {rid}")
             if what == "leave":
-                balancer.on_half_closed(now, rid)
+                balancer.on_client_half_closed(now, rid)
                 left.setdefault(rid, before)
             elif what == "gone":
-                balancer.on_gone(now, rid)
+                balancer.on_client_gone(now, rid)
                 gone[rid] = [c for c in host.calls if c[0] in ("refuse", "fail") and c[1] == rid]
                 left.setdefault(rid, before)
-            elif what == "end" and r.live:
+            elif what == "end" and r.attempts_in_flight:
                 outcome = rng.choice([Outcome.OK, Outcome.RESET, Outcome.FULL, Outcome.NOT_SENT])
                 balancer.on_outcome(now, rid, before - 1, outcome, MS, r.ended)
             else:
                 balancer.on_timer(now, 1)
             for one, attempts in left.items():
-                sent = sum(1 for c in host.named("send") if c[1] == one)
+                sent = sum(1 for c in host.calls_named("send") if c[1] == one)
                 assert sent == attempts, order
             ended = [c for c in host.calls if c[0] in ("refuse", "fail")]
             assert len(ended) == len(set(ended)), order
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -255,7 +255,7 @@
             if not self.w.node.requests and len(self.askers) == self.w.node.last_request_id:
                 break
             await asyncio.sleep(0.001)
-            if not self.w.node.balancer.ready or all(
+            if not self.w.node.balancer.ready_count or all(
                 b.state != State.READY for b in self.w.node.balancer.backends.values()
             ):
                 self.list_says()
@@ -272,9 +272,9 @@
 @pytest.fixture(autouse=True)
 def short_back_off(monkeypatch: pytest.MonkeyPatch) -> None:
     """A server that is left out is tried again soon: what a test waits for."""
-    monkeypatch.setattr(decisions, "BACKOFF", 20 * MS)
-    monkeypatch.setattr(decisions, "BACKOFF_MAX", 40 * MS)
-    monkeypatch.setattr(decisions, "FULL_REST_MAX", 20 * MS)
+    monkeypatch.setattr(decisions, "EJECTION_BACKOFF_NS", 20 * MS)
+    monkeypatch.setattr(decisions, "MAX_EJECTION_BACKOFF_NS", 40 * MS)
+    monkeypatch.setattr(decisions, "MAX_REJECTION_PAUSE_NS", 20 * MS)
 
 
 @pytest.mark.parametrize("seed", range(40))
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -17,7 +17,7 @@
 import pytest
 
 from flinthatch import Balancer, Listing, RequestClass, Settings, State, Update
-from flinthatch.balancer import MAX_LIMIT, TIMER_WAKE
+from flinthatch.balancer import MAX_CONCURRENCY_LIMIT, TIMER_WAKE
 from flinthatch.learned_state import (
     MAX_HEALTH_AGE_NS,
     MAX_LATENCY_AGE_NS,
@@ -29,7 +29,7 @@
 from tansywood.store import Store
 from windrelay.discovery import backend_id
 
-from .fakes import MS, SECOND, UNSAFE, Host, build, rows
+from .fakes import MS, SECOND, UNSAFE, RecordingHost, build_balancer, ready_listings
 from .harness import HANG_TIMEOUT_S, ROOT, Peer, answer, config, listen, request, roster, target
 
 WALL = 1_700_000_000 * SECOND  # of the first process's clock at 0
@@ -38,20 +38,20 @@
 
 def learnt(count: int = 6, down: int = 1) -> Balancer:
     """A module that has left some servers alone."""
-    balancer, _ = build(Settings(classes=(UNSAFE,), slow_start=8 * SECOND), count=count)
+    balancer, _ = build_balancer(Settings(classes=(UNSAFE,), slow_start=8 * SECOND), count=count)
     for backend in list(balancer.backends.values())[:down]:
-        backend.strikes = 4
-        backend.backoff = 4 * SECOND
+        backend.consecutive_failures = 4
+        backend.ejection_backoff = 4 * SECOND
         balancer.eject(10 * SECOND, backend, "test")
     return balancer
 
 
-def fresh(count: int = 6, boots: dict[int, int] | None = None) -> tuple[Balancer, Host]:
-    host = Host()
+def fresh(count: int = 6, boots: dict[int, int] | None = None) -> tuple[Balancer, RecordingHost]:
+    host = RecordingHost()
     balancer = Balancer(Settings(classes=(UNSAFE,), slow_start=8 * SECOND), 2, host)
     balancer.start(LATER)
-    listed = [r._replace(boot=(boots or {}).get(r.backend, 0)) for r in rows(count)]
-    balancer.on_members(LATER, Update.CACHED, listed)
+    listed = [r._replace(boot=(boots or {}).get(r.backend, 0)) for r in ready_listings(count)]
+    balancer.on_backend_list(LATER, Update.CACHED, listed)
     return balancer, host
 
 
@@ -65,11 +65,15 @@
     balancer, host = fresh()
     done = recalled(saved, balancer)
     b = balancer.backends[100]
-    assert done.ejected == 1 and balancer.ejected == 1  # type: ignore[attr-defined]
-    assert b.ejected_until == LATER + 3 * SECOND and b.strikes == 4 and b.backoff == 8 * SECOND
+    assert done.ejected == 1 and balancer.ejected_count == 1  # type: ignore[attr-defined]
+    assert (
+        b.ejected_until == LATER + 3 * SECOND
+        and b.consecutive_failures == 4
+        and b.ejection_backoff == 8 * SECOND
+    )
     for i in range(12):
         balancer.on_request(LATER, i, 0, SECOND)
-    assert 100 not in [c[2] for c in host.named("send")]
+    assert 100 not in [c[2] for c in host.calls_named("send")]
     balancer.on_timer(LATER + 3 * SECOND, TIMER_WAKE)
     assert b.half_open and not b.ejected_until
 
@@ -88,34 +92,36 @@
         row["down"] = 5 * SECOND
     balancer, _ = fresh()
     done = restore_learned_state(balancer, LATER, WALL + 11 * SECOND, record)
-    assert done.ejected == balancer.ejected == 3
+    assert done.ejected == balancer.ejected_count == 3
 
 
 def test_a_server_that_started_since_is_cold_whatever_was_saved() -> None:
     """And one of a new id at an old address has no record at all."""
     saved = learnt()
-    saved.backends[100].lat = 3.0
+    saved.backends[100].latency_ratio = 3.0
     clock = WALL + 11 * SECOND - LATER
     boot = WALL + 10 * SECOND - clock  # a second ago
     balancer, _ = fresh(boots={100: boot})
     recalled(saved, balancer)
     b = balancer.backends[100]
-    assert not b.ejected_until and b.lat == 1.0 and b.cold_until == boot + 8 * SECOND
-    balancer.on_members(LATER, Update.DELTA, [Listing(999, State.READY, boot=boot)])
-    assert balancer.backends[999].cold_until == boot + 8 * SECOND
+    assert (
+        not b.ejected_until and b.latency_ratio == 1.0 and b.slow_start_until == boot + 8 * SECOND
+    )
+    balancer.on_backend_list(LATER, Update.DELTA, [Listing(999, State.READY, boot=boot)])
+    assert balancer.backends[999].slow_start_until == boot + 8 * SECOND
 
 
 def test_the_same_start_is_the_same_in_the_next_process() -> None:
     """Starts are told by the wall clock and held by a clock that began elsewhere."""
-    saved, _ = build(Settings(classes=(UNSAFE,), slow_start=8 * SECOND))
+    saved, _ = build_balancer(Settings(classes=(UNSAFE,), slow_start=8 * SECOND))
     wall_boot = WALL + 6 * SECOND
-    saved.on_members(9 * SECOND, Update.FULL, [Listing(100, State.READY, boot=6 * SECOND)])
-    saved.backends[100].lat = 3.0
+    saved.on_backend_list(9 * SECOND, Update.FULL, [Listing(100, State.READY, boot=6 * SECOND)])
+    saved.backends[100].latency_ratio = 3.0
     balancer, _ = fresh(boots={100: wall_boot - (WALL + 11 * SECOND - LATER)})
     recalled(saved, balancer)
-    assert balancer.backends[100].lat == 3.0
+    assert balancer.backends[100].latency_ratio == 3.0
     # Warm at 14 s of the first clock, and no sooner for being remembered.
-    assert balancer.backends[100].cold_until == LATER + 3 * SECOND
+    assert balancer.backends[100].slow_start_until == LATER + 3 * SECOND
 
 
 def test_a_record_never_makes_a_cold_server_warm() -> None:
@@ -126,7 +132,7 @@
     record = export_learned_state(saved, 10 * SECOND, WALL + 10 * SECOND)
     record["backends"]["100"] |= {"boot": boot + clock, "cold": -(10**18), "lat": 0.2}
     restore_learned_state(balancer, LATER, WALL + 11 * SECOND, record)
-    assert balancer.backends[100].cold_until == boot + 8 * SECOND
+    assert balancer.backends[100].slow_start_until == boot + 8 * SECOND
 
 
 def test_a_shorter_saved_time_does_not_end_a_cold_one_sooner() -> None:
@@ -137,7 +143,7 @@
     record = export_learned_state(saved, 10 * SECOND, WALL + 10 * SECOND)
     record["backends"]["100"] |= {"boot": boot + clock, "cold": 2 * SECOND}
     restore_learned_state(balancer, LATER, WALL + 11 * SECOND, record)
-    assert balancer.backends[100].cold_until == boot + 8 * SECOND
+    assert balancer.backends[100].slow_start_until == boot + 8 * SECOND
 
 
 @pytest.mark.parametrize(
@@ -153,7 +159,7 @@
     balancer, _ = fresh()
     before = balancer.concurrency_limit
     done = recalled(saved, balancer, age)
-    assert says in done.why and not balancer.ejected  # type: ignore[attr-defined]
+    assert says in done.why and not balancer.ejected_count  # type: ignore[attr-defined]
     assert balancer.concurrency_limit == before
 
 
@@ -172,7 +178,7 @@
 def test_a_record_of_another_format_is_not_believed(record: object) -> None:
     balancer, _ = fresh()
     assert restore_learned_state(balancer, LATER, WALL, record).reason
-    assert not balancer.ejected
+    assert not balancer.ejected_count
 
 
 def test_a_record_full_of_nonsense_changes_nothing_beyond_the_modules_bounds() -> None:
@@ -194,21 +200,29 @@
     }
     restore_learned_state(balancer, LATER, WALL, record)
     b = balancer.backends[100]
-    assert balancer.concurrency_limit <= MAX_LIMIT and b.lat <= 10 and b.strikes >= 0
-    assert b.ejected_until <= LATER + 8 * SECOND and b.cold_until <= LATER + 8 * SECOND
+    assert (
+        balancer.concurrency_limit <= MAX_CONCURRENCY_LIMIT
+        and b.latency_ratio <= 10
+        and b.consecutive_failures >= 0
+    )
+    assert b.ejected_until <= LATER + 8 * SECOND and b.slow_start_until <= LATER + 8 * SECOND
 
 
 def test_latencies_of_classes_are_recalled_and_still_learnt() -> None:
     classes = (RequestClass("quick", 200 * MS, SECOND),)
-    saved, _ = build(Settings(classes=classes))
-    saved.classes[0].lat, saved.classes[0].base, saved.classes[0].lat_n = 20e6, 15e6, 100.0
-    balancer, _ = build(Settings(classes=classes))
+    saved, _ = build_balancer(Settings(classes=classes))
+    (
+        saved.classes[0].mean_latency,
+        saved.classes[0].baseline_latency,
+        saved.classes[0].latency_count,
+    ) = 20e6, 15e6, 100.0
+    balancer, _ = build_balancer(Settings(classes=classes))
     record = export_learned_state(saved, SECOND, WALL)
     assert restore_learned_state(balancer, SECOND, WALL + MS, record).latencies == 1
-    assert (balancer.classes[0].lat, balancer.classes[0].base) == (20e6, 15e6)
+    assert (balancer.classes[0].mean_latency, balancer.classes[0].baseline_latency) == (20e6, 15e6)
     balancer.on_request(2 * SECOND, 1, 0, SECOND)
     balancer.on_outcome(2 * SECOND + 60 * MS, 1, 0, 1, 60 * MS, True)
-    assert 20e6 < balancer.classes[0].lat < 60e6
+    assert 20e6 < balancer.classes[0].mean_latency < 60e6
 
 
 # ---- on loopback: a node killed and started again, one server dead ------------------
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -21,7 +21,7 @@
     Update,
 )
 
-from .fakes import MS, SECOND, Host
+from .fakes import MS, SECOND, RecordingHost
 
 CLASSES = (
     RequestClass("pure", 200 * MS, 900 * MS, Effect.PURE),
@@ -36,7 +36,7 @@
 RAN = {1, 2, 4, 6, 7}
 
 
-class World(Host):
+class World(RecordingHost):
     """Judges actions as they come."""
 
     def __init__(self) -> None:
@@ -105,7 +105,7 @@
     realms = (Tenant("a", 0.7, 50.0), Tenant("b", 0.3, 5.0)) if tenants else ()
     balancer = Balancer(Settings(classes=CLASSES, tenants=realms, max_attempts=4), 5, world)
     balancer.start(0)
-    balancer.on_members(0, Update.CACHED, list(world.rows.values()))
+    balancer.on_backend_list(0, Update.CACHED, list(world.rows.values()))
     for kind, value in [*events, ("drain out", 0)]:
         if kind == "request":
             rid = len(world.requests)
@@ -128,12 +128,12 @@
             state = (State.READY, State.DRAINING, State.GONE)[value // 12 % 3]
             if sum(r.state == State.READY for r in world.rows.values()) > 2 or state == 1:
                 world.rows[b] = world.rows[b]._replace(state=state)
-                balancer.on_members(world.now, Update.DELTA, [world.rows[b]])
+                balancer.on_backend_list(world.now, Update.DELTA, [world.rows[b]])
         elif kind == "gone" and world.requests:
             rid = value % len(world.requests)
             if rid not in world.ended:
                 world.ended[rid] = world.now
-                balancer.on_gone(world.now, rid)
+                balancer.on_client_gone(world.now, rid)
         elif kind == "timer":
             balancer.on_timer(world.now, value % 7)
         else:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -18,7 +18,7 @@
 from flinthatch import Balancer, Settings, Update
 from windrelay.config import ConfigError, load
 
-from .fakes import Host, rows
+from .fakes import RecordingHost, ready_listings
 from .harness import (
     HANG_TIMEOUT_S,
     SETTINGS,
@@ -60,10 +60,10 @@
 
 def play(settings: Settings, seed: int = 1) -> None:
     """A short life of the module, with every outcome, lists that fail and lists that change."""
-    rng, host = Random(seed), Host()
+    rng, host = Random(seed), RecordingHost()
     balancer = Balancer(settings, seed, host)
     balancer.start(0)
-    balancer.on_members(0, Update.CACHED, rows(4))
+    balancer.on_backend_list(0, Update.CACHED, ready_listings(4))
     now = 0
     for step in range(120):
         now += rng.randrange(80_000_000)
@@ -75,14 +75,16 @@
             left = rng.choice([10_000_000, 200_000_000, SECOND])
             balancer.on_request(now, 2 * step + part, rng.randrange(len(settings.classes)), left)
         for r in list(balancer.requests.values()):
-            if r.live and rng.random() < 0.5:
+            if r.attempts_in_flight and rng.random() < 0.5:
                 outcome, took = rng.randrange(1, 9), rng.randrange(SECOND // 10)
                 balancer.on_outcome(now, r.id, len(r.attempts) - 1, outcome, took, False)
         if step % 20 == 5:
-            balancer.on_members(now, Update.FAILED)
+            balancer.on_backend_list(now, Update.FAILED)
         if step % 20 == 15:
-            listed = [r._replace(boot=rng.choice([0, now])) for r in rows(rng.randrange(5))]
-            balancer.on_members(now, Update.FULL, listed)
+            listed = [
+                r._replace(boot=rng.choice([0, now])) for r in ready_listings(rng.randrange(5))
+            ]
+            balancer.on_backend_list(now, Update.FULL, listed)
 
 
 def changed(raw: dict[str, Any], path: tuple[Any, ...], value: object) -> dict[str, Any]:
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -6,7 +6,12 @@
 
 import pytest
 
-from flinthatch.balancer import WORST, predicted, solve, utility
+from flinthatch.balancer import (
+    MAX_PREDICTED_TARGET_RATIO,
+    predict_response_time,
+    solve_max_min_shares,
+    utility,
+)
 
 Flow = tuple[float, float, float, float, float]
 
@@ -15,9 +20,9 @@
     rate, mean, old, aim, worth = flow
     if rate <= 0 or mean <= 0:
         return 1.0
-    t = predicted(rate, mean, max(old, 1.0), share)
+    t = predict_response_time(rate, mean, max(old, 1.0), share)
     if t == float("inf"):
-        return -worth * (WORST - 1.0) - worth * rate * aim / share
+        return -worth * (MAX_PREDICTED_TARGET_RATIO - 1.0) - worth * rate * aim / share
     return utility(aim, t, worth)
 
 
@@ -42,7 +47,7 @@
 @pytest.mark.parametrize("flows", CASES)
 @pytest.mark.parametrize("total", [3, 5, 9, 12])
 def test_greedy_is_max_min(flows: list[Flow], total: int) -> None:
-    shares = solve(total, flows)
+    shares = solve_max_min_shares(total, flows)
     assert sum(shares) == total
     assert min(shares) >= 1
     got = min(stand(f, s) for f, s in zip(flows, shares, strict=True))
@@ -50,4 +55,4 @@
 
 
 def test_too_few_slots_gives_each_class_one() -> None:
-    assert solve(2, CASES[1]) == [1, 1, 1]
+    assert solve_max_min_shares(2, CASES[1]) == [1, 1, 1]
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -27,7 +27,7 @@
 from windrelay.config import Address
 from windrelay.discovery import RegistryCall
 
-from .fakes import MS, PURE, SECOND, Host
+from .fakes import MS, PURE, SECOND, RecordingHost
 from .harness import accept, answer, listen, node, port, request, roster, target
 from .inside import in_process_node
 
@@ -39,17 +39,17 @@
     """A node's watch and its module's back-off, without sockets; `now` in seconds."""
 
     def __init__(self, seed: int, nodes: int = 200) -> None:
-        self.host = Host()
+        self.host = RecordingHost()
         settings = Settings(classes=(PURE,), ask=True, balancers=nodes)
         self.balancer = Balancer(settings, seed, self.host)
         self.balancer.start(0)
-        self.balancer.on_members(0, Update.CACHED, [])
+        self.balancer.on_backend_list(0, Update.CACHED, [])
         self.watch = PollSchedule()
         self.now = 0.0
 
     def answered(self, lasted: float = 0.0, news: bool = True) -> None:
         self.now += lasted
-        self.balancer.on_members(int(self.now * SECOND), Update.DELTA, [])
+        self.balancer.on_backend_list(int(self.now * SECOND), Update.DELTA, [])
         self.now += self.watch.delay_after_answer(lasted, news)
 
     def fails(self, how: str) -> None:
@@ -62,8 +62,8 @@
             after = self.watch.delay_after_failure(timed_out=how in ("silent", "dial"))
         if after is None:
             self.host.calls.clear()
-            self.balancer.on_members(int(self.now * SECOND), Update.FAILED, [])
-            (due,) = (int(str(c[2])) for c in self.host.named("timer") if c[1] == 3)
+            self.balancer.on_backend_list(int(self.now * SECOND), Update.FAILED, [])
+            (due,) = (int(str(c[2])) for c in self.host.calls_named("timer") if c[1] == 3)
             self.balancer.on_timer(due, 3)
             self.now = due / SECOND
         else:
--- a/windrelay/node.py
+++ b/windrelay/node.py
@@ -185,7 +185,7 @@
         self.begin_event()
         try:
             self.balancer.start(self.now)
-            self.balancer.on_members(self.now, Update.CACHED, rows)
+            self.balancer.on_backend_list(self.now, Update.CACHED, rows)
             self.restore_state(self.balancer, self.now)
         finally:
             self.end_event()
@@ -295,7 +295,7 @@
     def include(self, backend: int) -> None:
         self.begin_event()
         try:
-            self.balancer.lift(self.now, backend)
+            self.balancer.lift_ban(self.now, backend)
         except Exception:
             self.broken()
         finally:
@@ -308,7 +308,7 @@
         now = self.begin_event()
         try:
             self.end(r)
-            self.balancer.on_gone(now, r.id)
+            self.balancer.on_client_gone(now, r.id)
         except Exception:
             self.broken()
         finally:
@@ -320,7 +320,7 @@
             return
         now = self.begin_event()
         try:
-            self.balancer.on_half_closed(now, r.id)
+            self.balancer.on_client_half_closed(now, r.id)
         except Exception:
             self.broken()
         finally:
@@ -332,7 +332,7 @@
         r = a.request
         if r is None:
             return True
-        return not r.ended and self.balancer.may_begin(time.monotonic_ns(), r.id, a.number)
+        return not r.ended and self.balancer.may_start_attempt(time.monotonic_ns(), r.id, a.number)
 
     def apply_member_update(self, update: Update, rows: list[Listing], stale: list[int]) -> None:
         now = self.begin_event()
@@ -341,7 +341,7 @@
                 # Dials too: with a longer dial time-out than the grace for drains, what
                 # they carry would begin after it.
                 self.upstream.drain_backend(backend)
-            self.balancer.on_members(now, update, rows)
+            self.balancer.on_backend_list(now, update, rows)
         except Exception:
             self.broken()
         finally:
@@ -356,7 +356,7 @@
         a.begun = now
         r.begun = True
         try:
-            self.balancer.on_started(now, r.id, a.number, now - a.sent_at)
+            self.balancer.on_response_started(now, r.id, a.number, now - a.sent_at)
         except Exception:
             self.broken()
         finally:
@@ -566,7 +566,7 @@
         """The module owed an answer and gave none; the client must not be left waiting."""
         self.log(f"request {r.id} was overdue")
         self.fail_at_once(r, late=True)
-        self.balancer.on_gone(self.now, r.id)
+        self.balancer.on_client_gone(self.now, r.id)
 
     # ---- faults of our own ---------------------------------------------
 
