--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -1,7 +1,7 @@
-"""Every place taken, and a node that starts: what must go on all the same.
+"""A node whose descriptors are all in use, and a node that starts while discovery fails.
 
-The system's own limit on descriptors stands at what the settings say, so that one that is opened
-beyond the node's account fails here as it would in service.
+The process's own limit on descriptors is set to the configured one, so that a descriptor opened
+beyond the node's budget fails here as it would in production.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
     wait_until,
 )
 
-SOCKETS = 64
-READY = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
+MAX_SOCKETS = 64
+READINESS_PROBE = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-def reserved() -> socket.socket:
-    """An address that refuses until somebody listens there."""
+def unlistened_address() -> socket.socket:
+    """A socket bound to an address that refuses connections until the socket listens."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(("127.0.0.1", 0))
@@ -43,18 +43,18 @@
 
 
 @contextlib.contextmanager
-def crowded(n: RunningNode, kind: str) -> Iterator[list[Peer]]:
-    """As many idle clients as come in, and more that wait at the door."""
-    resource.prlimit(n.process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
+def idle_clients(running: RunningNode, client_state: str) -> Iterator[list[Peer]]:
+    """Connect twice as many idle clients as the node has descriptors, and yield them."""
+    resource.prlimit(running.process.pid, resource.RLIMIT_NOFILE, (MAX_SOCKETS, MAX_SOCKETS))
     peers = []
-    before = n.descriptors()
-    for _ in range(2 * SOCKETS):
-        peers.append(n.connect())
-        if kind == "asked once":
-            peers[-1].send(READY)
-        elif kind == "half a head":
-            peers[-1].send(READY[:20])
-    wait_until(lambda: n.descriptors() > before + 20)
+    before = running.descriptors()
+    for _ in range(2 * MAX_SOCKETS):
+        peers.append(running.connect())
+        if client_state == "one probe sent":
+            peers[-1].send(READINESS_PROBE)
+        elif client_state == "incomplete head":
+            peers[-1].send(READINESS_PROBE[:20])
+    wait_until(lambda: running.descriptors() > before + 20)
     try:
         yield peers
     finally:
@@ -62,55 +62,60 @@
             peer.close()
 
 
-@pytest.mark.parametrize("kind", ["silent", "asked once", "half a head"])
-def test_idle_clients_keep_no_descriptor_from_the_list_a_reload_or_a_server(
-    tmp_path: Path, kind: str
+@pytest.mark.parametrize("client_state", ["silent", "one probe sent", "incomplete head"])
+def test_idle_clients_leave_descriptors_for_discovery_reload_and_backends(
+    tmp_path: Path, client_state: str
 ) -> None:
-    """The list is down as they come; each of the three needs one of its own."""
+    """Discovery is down while the clients connect. A call to discovery, a reload and a connection
+    to a backend each need a descriptor of their own, and must get it."""
     with contextlib.ExitStack() as stack:
-        disco = stack.enter_context(reserved())
+        discovery_listener = stack.enter_context(unlistened_address())
         other, backend = (stack.enter_context(listen()) for _ in range(2))
-        known = roster(target("s-0", 1))
-        n = stack.enter_context(node(tmp_path, known, port(disco), limits={"sockets": SOCKETS}))
-        stack.enter_context(crowded(n, kind))
-        disco.listen()
-        disco.settimeout(HANG_TIMEOUT_S)
-        peer = accept(disco)
+        known_list = roster(target("s-0", 1))
+        running = stack.enter_context(
+            node(tmp_path, known_list, port(discovery_listener), limits={"sockets": MAX_SOCKETS})
+        )
+        stack.enter_context(idle_clients(running, client_state))
+        discovery_listener.listen()
+        discovery_listener.settimeout(HANG_TIMEOUT_S)
+        peer = accept(discovery_listener)
         assert "?from=1&" in peer.message()[0]
         rows = roster(target("s-1", port(backend)), rev=2)
         peer.send(answer(json.dumps(rows).encode()))
-        n.reload(discovery=f"127.0.0.1:{port(other)}")
+        running.reload(discovery=f"127.0.0.1:{port(other)}")
         peer = accept(other)
         assert peer.message()[0].startswith("GET /registry/instances ")
         peer.send(answer(json.dumps(rows).encode()))
-        if kind != "half a head":  # those keep their places for 2.25 s each, wave after wave
-            client = n.connect()  # behind all of them
+        # Clients with an incomplete head hold their descriptors for 2.25 s each, batch after batch.
+        if client_state != "incomplete head":
+            client = running.connect()  # behind all idle clients
             client.send(request())
             server = accept(backend)
             server.message()
             server.send(answer(b"served"))
             assert client.message()[2] == b"served"
             client.close()
-        assert n.stop() == 0  # and with them still there
+        assert running.stop() == 0  # while the idle clients are still connected
 
 
-@pytest.mark.parametrize("state", ["refuses", "silent", "slow", "crowded"])
-def test_a_node_is_ready_by_the_list_it_knows_whatever_discovery_does(
-    tmp_path: Path, state: str
+@pytest.mark.parametrize("discovery_state", ["refuses", "silent", "slow", "crowded"])
+def test_node_is_ready_with_its_known_list_when_discovery_fails(
+    tmp_path: Path, discovery_state: str
 ) -> None:
-    """Readiness waits for the listener alone: nothing here lets discovery answer a call."""
-    with listen() as disco, listen() as backend:
-        known = roster(target("s-1", port(backend)))
-        address = 1 if state == "refuses" else port(disco)
-        with node(tmp_path, known, address) as n:
-            if state in ("slow", "crowded"):
-                peer = accept(disco)
+    """Readiness depends on the listening socket alone. In none of these states does discovery
+    return a list."""
+    with listen() as discovery_listener, listen() as backend:
+        known_list = roster(target("s-1", port(backend)))
+        address = 1 if discovery_state == "refuses" else port(discovery_listener)
+        with node(tmp_path, known_list, address) as running:
+            if discovery_state in ("slow", "crowded"):
+                peer = accept(discovery_listener)
                 peer.message()
-                peer.send(b"HTTP/1.1 200 OK\r\nContent-" if state == "slow" else b"")
-                if state == "crowded":
+                peer.send(b"HTTP/1.1 200 OK\r\nContent-" if discovery_state == "slow" else b"")
+                if discovery_state == "crowded":
                     peer.send(answer(b"", "503 Busy"))
-            client = n.connect()
-            client.send(READY)
+            client = running.connect()
+            client.send(READINESS_PROBE)
             assert client.message()[0].split(" ")[1] == "200"
             client.send(request())
             server = accept(backend)
@@ -119,15 +124,15 @@
             assert client.message()[2] == b"served"
 
 
-def test_a_node_corrects_what_it_knew_by_the_first_list_it_gets(tmp_path: Path) -> None:
-    with listen() as disco, listen() as old, listen() as new:
-        known = roster(target("s-1", port(old)))
-        with node(tmp_path, known, port(disco)) as n:
-            peer = accept(disco)
+def test_first_discovery_list_replaces_the_known_list(tmp_path: Path) -> None:
+    with listen() as discovery_listener, listen() as old, listen() as new:
+        known_list = roster(target("s-1", port(old)))
+        with node(tmp_path, known_list, port(discovery_listener)) as running:
+            peer = accept(discovery_listener)
             peer.message()
             rows = roster(target("s-2", port(new)), rev=5)
             peer.send(answer(json.dumps(rows).encode()))
-            assert "?from=5&" in accept(disco).message()[0]
-            client = n.connect()
+            assert "?from=5&" in accept(discovery_listener).message()[0]
+            client = running.connect()
             client.send(request())
             accept(new).message()
--- a/tests/test_faulty_peers.py
+++ b/tests/test_faulty_peers.py
@@ -1,4 +1,4 @@
-"""What bad or unlucky peers do to the real node, on loopback sockets."""
+"""A node process, over loopback sockets, with clients and backends that break the protocol."""
 
 from __future__ import annotations
 
@@ -26,31 +26,34 @@
 )
 
 
-def numbered(names: str, rows: list[Any]) -> pytest.MarkDecorator:
-    """Cases by number: their bytes make no names."""
-    return pytest.mark.parametrize(names, rows, ids=[str(i) for i in range(len(rows))])
+def parametrize_by_number(names: str, cases: list[Any]) -> pytest.MarkDecorator:
+    """Parametrize a test with case numbers as ids, because the cases are bytes."""
+    return pytest.mark.parametrize(names, cases, ids=[str(i) for i in range(len(cases))])
 
 
-SMUGGLED = b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + request()
+SMUGGLED_REQUEST = b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + request()
 
 
 @contextmanager
-def pair(tmp_path: Path, **over: Any) -> Iterator[tuple[RunningNode, socket.socket]]:
-    """A node before one backend."""
+def node_and_backend(
+    tmp_path: Path, **config_changes: Any
+) -> Iterator[tuple[RunningNode, socket.socket]]:
+    """Start a node process with one backend, and yield both."""
     with listen() as backend:
-        known = roster(target("s-1", backend.getsockname()[1]))
-        with node(tmp_path, known, **over) as n:
-            yield n, backend
+        known_list = roster(target("s-1", backend.getsockname()[1]))
+        with node(tmp_path, known_list, **config_changes) as running:
+            yield running, backend
 
 
-def refused(peer: Peer) -> str:
+def response_status(peer: Peer) -> str:
+    """Read the next response and return its status code."""
     return peer.message()[0].split(" ")[1]
 
 
-# ---- what clients send ------------------------------------------------------
+# ---- faulty clients ---------------------------------------------------------
 
 
-@numbered(
+@parametrize_by_number(
     "data,status",
     [
         (b"NONSENSE\r\n\r\n", 400),
@@ -67,11 +70,11 @@
         (request("/credit/1", b"", Content_Length="-5"), 400),
         (request("/credit/1", b"", Content_Length="9" * 30), 400),
         (request("/credit/1", b"x", Content_Length="1\r\nContent-Length: 1"), 400),
-        (request("/credit/1", None).replace(b"GET", b"POST")[:-2] + SMUGGLED, 400),
+        (request("/credit/1", None).replace(b"GET", b"POST")[:-2] + SMUGGLED_REQUEST, 400),
         (request("/credit/1", b"", Content_Length="", Transfer_Encoding="gzip, chunked"), 400),
         (request(X_Attrs="a" * 40_000), 431),
         (request("/balance/" + "a" * 40_000), 431),
-        (request(X_Attrs="a" * 200_000)[:-4], 431),  # a head without end
+        (request(X_Attrs="a" * 200_000)[:-4], 431),  # a head that does not end
         (request().replace(b"GET", b"PUT"), 405),
         (request("/balance/1", b"x"), 405),
         (request("/credit/1"), 405),
@@ -83,9 +86,11 @@
         (request(Connection="Upgrade", Upgrade="h2c"), 400),
     ],
 )
-def test_bad_input_reaches_no_backend(tmp_path: Path, data: bytes, status: int) -> None:
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_malformed_request_is_rejected_before_any_backend(
+    tmp_path: Path, data: bytes, status: int
+) -> None:
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(data)
         line, headers, _ = client.message()
         assert line.split(" ")[1] == str(status)
@@ -96,16 +101,16 @@
             backend.accept()
 
 
-def test_the_absolute_form_and_a_leading_empty_line_are_taken(tmp_path: Path) -> None:
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_absolute_url_and_leading_empty_line_are_accepted(tmp_path: Path) -> None:
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(b"\r\n" + request().replace(b"GET /", b"GET http://app.svc/"))
         assert accept(backend).message()[0] == "GET /balance/7f3a HTTP/1.1"
 
 
-def test_white_space_after_values_is_no_part_of_them(tmp_path: Path) -> None:
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_white_space_after_header_values_is_stripped(tmp_path: Path) -> None:
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         lines = request("/credit/1", b"x", rid="a").split(b"\r\n")
         spaced = [line + b" \t" if b": " in line else line for line in lines]
         client.send(b"\r\n".join(spaced))
@@ -114,23 +119,23 @@
         assert (headers["x-request-id"], body) == ("a", b"x")
         peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: 10 \r\n\r\nshort")
         peer.close()
-        assert refused(client) == "502"  # cut short: the length was understood
+        assert response_status(client) == "502"  # the node understood the length: 5 bytes missing
 
 
-def test_an_unknown_tenant_is_400(tmp_path: Path) -> None:
+def test_unknown_tenant_is_rejected_with_400(tmp_path: Path) -> None:
     realms = [{"name": "acme", "portion": 1.0, "quota_per_s": 100.0}]
-    with pair(tmp_path, settings={"realms": realms}) as (n, backend):
-        client = n.connect()
+    with node_and_backend(tmp_path, settings={"realms": realms}) as (running, backend):
+        client = running.connect()
         client.send(request(X_Tenant_Id="nobody"))
-        assert refused(client) == "400"
-        client = n.connect()
+        assert response_status(client) == "400"
+        client = running.connect()
         client.send(request())
         accept(backend).message()
 
 
-def test_a_head_in_pieces(tmp_path: Path) -> None:
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_head_that_arrives_in_pieces_is_parsed(tmp_path: Path) -> None:
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         data = request(rid="a")
         for at in range(0, len(data), 7):
             client.send(data[at : at + 7])
@@ -140,96 +145,100 @@
         assert client.message()[2] == b"1"
 
 
-@numbered("more", [b"NONSENSE\r\n\r\n", request(rid="b"), request(rid="b") * 200])
-def test_what_comes_with_more_than_one_request_is_not_served(tmp_path: Path, more: bytes) -> None:
-    """Clients send one request at a time; another in the same bytes may have been hidden."""
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+@parametrize_by_number("more", [b"NONSENSE\r\n\r\n", request(rid="b"), request(rid="b") * 200])
+def test_request_with_further_bytes_behind_it_is_not_served(tmp_path: Path, more: bytes) -> None:
+    """A client sends one request at a time. Further bytes that arrive with a request may be another
+    one that was hidden in its body, so neither is served."""
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request(rid="a") + more)
-        assert refused(client) == "400"
+        assert response_status(client) == "400"
         assert client.read_to_end() == b""
         backend.setblocking(False)
         with pytest.raises(BlockingIOError):
             backend.accept()
 
 
-def test_a_request_ahead_of_the_answer_ends_both(tmp_path: Path) -> None:
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_second_request_before_the_response_ends_both(tmp_path: Path) -> None:
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request(rid="a"))
         peer = accept(backend)
         peer.message()
         client.send(request(rid="b"))
-        assert refused(client) == "400"
+        assert response_status(client) == "400"
         peer.send(answer(b"for a"))
-        assert client.read_to_end() == b""  # one answer, and nothing after it
+        assert client.read_to_end() == b""  # one response, and nothing after it
 
 
-def test_the_id_of_another_request_is_not_taken_again(tmp_path: Path) -> None:
-    """Open or just ended: whoever comes second must get neither answer nor effect."""
-    with pair(tmp_path) as (n, backend):
-        client, other = n.connect(), n.connect()
+def test_duplicate_request_id_is_rejected(tmp_path: Path) -> None:
+    """The first request is open or has just ended. The second one with its id must neither run nor
+    get the response of the first."""
+    with node_and_backend(tmp_path) as (running, backend):
+        client, other = running.connect(), running.connect()
         client.send(request("/credit/1", b"x", rid="a"))
         peer = accept(backend)
         peer.message()
         other.send(request("/credit/1", b"x", rid="a"))
-        assert refused(other) == "400"
+        assert response_status(other) == "400"
         peer.send(answer(b"for a"))
         assert client.message()[2] == b"for a"
-        late = n.connect()
+        late = running.connect()
         late.send(request("/credit/1", b"x", rid="a"))
-        assert refused(late) == "400"
+        assert response_status(late) == "400"
         client.send(request("/credit/1", b"x", rid="b"))
         assert peer.message()[1]["x-request-id"] == "b"
 
 
-def test_clients_that_do_not_get_to_a_request_are_closed_within_what_they_are_owed(
+def test_clients_that_complete_no_request_are_closed_in_time(
     tmp_path: Path,
 ) -> None:
-    """Silent, half a head, half a body: each is answered or closed 3 s after connecting."""
-    with pair(tmp_path) as (n, _):
+    """Clients that send nothing, half a head or half a body get an error or a close within 3 s of
+    connecting. Otherwise each of them would hold a descriptor indefinitely."""
+    with node_and_backend(tmp_path) as (running, _):
         began = time.monotonic()
-        silent, head, body, asked = (n.connect() for _ in range(4))
+        silent, head, body, answered = (running.connect() for _ in range(4))
         head.send(request()[:-20])
         body.send(request("/credit/1", b"", Content_Length="100") + b"x")
-        asked.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-        asked.message()
+        answered.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+        answered.message()
         assert silent.read_to_end() == b""
-        assert refused(head) == refused(body) == "408"
-        assert time.monotonic() - began < 4.5  # 3 s are owed; some room for a busy machine
-        assert asked.read_to_end() == b""  # kept for a while, but not for good
+        assert response_status(head) == response_status(body) == "408"
+        assert time.monotonic() - began < 4.5  # 3 s, and room for a busy machine
+        assert answered.read_to_end() == b""  # the idle timeout
         assert time.monotonic() - began > 2
 
 
-def test_a_client_with_60_mb_to_send_gets_its_error_and_costs_little(tmp_path: Path) -> None:
+def test_oversized_body_gets_413_and_is_not_read(tmp_path: Path) -> None:
     size = 60 << 20
-    with pair(tmp_path) as (n, _):
-        client = n.connect()
+    with node_and_backend(tmp_path) as (running, _):
+        client = running.connect()
         client.send(request("/credit/1", b"", Content_Length=str(size)))
-        before = n.cpu_ms()
+        before = running.cpu_ms()
         sent = 0
         block = bytes(1 << 20)
         with suppress(OSError):
             while sent < size:
                 sent += client.sock.send(block)
-        assert sent < size // 2  # not all of it was read and thrown away
+        assert sent < size // 2  # the node did not read and discard all of it
         assert client.read_to_end().startswith(b"HTTP/1.1 413")
-        assert n.cpu_ms() - before < 500
-        other = n.connect()
+        assert running.cpu_ms() - before < 500
+        other = running.connect()
         other.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         assert other.message()[0] == "HTTP/1.1 200 OK"
 
 
-def test_a_client_that_ends_its_sending_still_gets_its_answer(tmp_path: Path) -> None:
-    with pair(tmp_path) as (n, backend):
-        warm = n.connect()
-        warm.send(request())
+def test_half_closed_client_still_gets_its_response(tmp_path: Path) -> None:
+    with node_and_backend(tmp_path) as (running, backend):
+        first_client = running.connect()
+        first_client.send(request())
         peer = accept(backend)
         peer.message()
         peer.send(answer(b"first"))
-        assert warm.message()[2] == b"first"
-        # With a dial in between it would hang on time whether its attempt still begins.
-        client = n.connect()
+        assert first_client.message()[2] == b"first"
+        # The pooled connection is used: with a dial, it would depend on timing whether the attempt
+        # starts before the node sees the half-close.
+        client = running.connect()
         client.send(request())
         client.sock.shutdown(socket.SHUT_WR)
         peer.message()
@@ -238,14 +247,14 @@
         assert client.read_to_end() == b""
 
 
-def test_a_client_that_leaves_does_not_disturb_the_next(tmp_path: Path) -> None:
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_client_that_resets_does_not_disturb_the_next(tmp_path: Path) -> None:
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request(rid="a"))
         peer = accept(backend)
         peer.message()
         client.reset()
-        other = n.connect()
+        other = running.connect()
         other.send(request(rid="b"))
         second = accept(backend)
         assert second.message()[1]["x-request-id"] == "b"
@@ -254,10 +263,10 @@
         assert other.message()[2] == b"for b"
 
 
-def test_the_largest_and_chunked_bodies_arrive_whole(tmp_path: Path) -> None:
+def test_long_and_chunked_bodies_arrive_complete(tmp_path: Path) -> None:
     body = bytes(range(256)) * 256
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request("/credit/1", body))
         peer = accept(backend)
         assert peer.message()[2] == body
@@ -269,43 +278,47 @@
         assert peer.message()[2] == b"abcde"
 
 
-# ---- what backends do -------------------------------------------------------
+# ---- faulty backends --------------------------------------------------------
 
 
-def test_an_unsafe_request_that_may_have_run_is_failed_and_never_sent_again(
+def test_unsafe_request_is_not_retried_after_a_reset(
     tmp_path: Path,
 ) -> None:
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request("/credit/1", b"x"))
         peer = accept(backend)
         peer.message()
         peer.reset()
-        assert refused(client) == "502"
+        assert response_status(client) == "502"
         backend.setblocking(False)
         with pytest.raises(BlockingIOError):
             backend.accept()
 
 
-def test_a_refused_connection_never_ran_and_is_sent_elsewhere(tmp_path: Path) -> None:
-    with listen() as dead, listen() as alive:
-        known = roster(target("s-1", dead.getsockname()[1]), target("s-2", alive.getsockname()[1]))
-        dead.close()
-        with node(tmp_path, known) as n:
+def test_request_is_retried_elsewhere_when_the_connection_is_refused(tmp_path: Path) -> None:
+    with listen() as refusing, listen() as accepting:
+        known_list = roster(
+            target("s-1", refusing.getsockname()[1]), target("s-2", accepting.getsockname()[1])
+        )
+        refusing.close()
+        with node(tmp_path, known_list) as running:
             for i in range(4):
-                client = n.connect()
+                client = running.connect()
                 client.send(request("/credit/1", b"x", rid=f"r{i}"))
-                peer = accept(alive)
+                peer = accept(accepting)
                 assert peer.message()[1]["x-request-id"] == f"r{i}"
                 peer.send(answer(b"served", "200 OK", "Connection: close"))
                 assert client.message()[2] == b"served"
 
 
-def test_turned_away_early_is_sent_again(tmp_path: Path) -> None:
+def test_request_is_retried_when_the_backend_did_not_process_it(tmp_path: Path) -> None:
     with listen() as one, listen() as two:
-        known = roster(target("s-1", one.getsockname()[1]), target("s-2", two.getsockname()[1]))
-        with node(tmp_path, known) as n:
-            client = n.connect()
+        known_list = roster(
+            target("s-1", one.getsockname()[1]), target("s-2", two.getsockname()[1])
+        )
+        with node(tmp_path, known_list) as running:
+            client = running.connect()
             client.send(request("/credit/1", b"x"))
             first = select.select([one, two], [], [], HANG_TIMEOUT_S)[0][0]
             peer = accept(first)
@@ -330,20 +343,22 @@
         b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
     ],
 )
-def test_a_bad_answer_may_have_run(tmp_path: Path, reply: bytes) -> None:
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_unsafe_request_is_not_retried_after_an_invalid_response(
+    tmp_path: Path, reply: bytes
+) -> None:
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request("/credit/1", b"x"))
         peer = accept(backend)
         peer.message()
         peer.send(reply)
         peer.close()
-        assert refused(client) == "502"
+        assert response_status(client) == "502"
 
 
-def test_bytes_after_an_answer_reach_nobody(tmp_path: Path) -> None:
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_bytes_after_a_response_are_discarded(tmp_path: Path) -> None:
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request(rid="a"))
         peer = accept(backend)
         peer.message()
@@ -357,14 +372,14 @@
         assert client.message()[2] == b"for b"
 
 
-def test_an_answer_after_the_time_out_reaches_nobody(tmp_path: Path) -> None:
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_response_after_the_time_out_is_discarded(tmp_path: Path) -> None:
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request("/credit/1", b"x", timeout=150, rid="a"))
         peer = accept(backend)
         peer.message()
-        assert refused(client) == "502"
-        assert peer.read_to_end() == b""  # closed: what it says now has nowhere to go
+        assert response_status(client) == "502"
+        assert peer.read_to_end() == b""  # the node closed the connection
         client.send(request(rid="b"))
         second = accept(backend)
         assert second.message()[1]["x-request-id"] == "b"
@@ -372,9 +387,9 @@
         assert client.message()[2] == b"for b"
 
 
-def test_a_connection_that_closed_while_idle_is_not_written_to(tmp_path: Path) -> None:
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_connection_that_was_reset_while_idle_is_not_reused(tmp_path: Path) -> None:
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request("/credit/1", b"x", rid="a"))
         peer = accept(backend)
         peer.message()
@@ -388,9 +403,9 @@
         assert client.message()[2] == b"2"
 
 
-def test_a_reused_connection_that_closes_under_an_unsafe_request(tmp_path: Path) -> None:
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_unsafe_request_is_not_retried_when_a_reused_connection_closes(tmp_path: Path) -> None:
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request("/credit/1", b"x", rid="a"))
         peer = accept(backend)
         peer.message()
@@ -399,10 +414,10 @@
         client.send(request("/credit/1", b"x", rid="b"))
         peer.message()
         peer.close()
-        assert refused(client) == "502"
+        assert response_status(client) == "502"
 
 
-SPOILT = [
+MALFORMED_RESPONSES = [
     b"\x00\xffnoise" * 20,
     b"HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nok",
     b"HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nok",
@@ -418,18 +433,21 @@
 ]
 
 
-@numbered("reply", SPOILT)
-def test_a_spoilt_answer_is_a_failed_attempt_and_no_more(tmp_path: Path, reply: bytes) -> None:
-    """Unsafe: failed once and for all. Safe: sent again. The backend stays in, twice over."""
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+@parametrize_by_number("reply", MALFORMED_RESPONSES)
+def test_malformed_response_fails_the_attempt_and_ejects_no_backend(
+    tmp_path: Path, reply: bytes
+) -> None:
+    """An unsafe request fails with 502 and a safe one is retried. The backend is not ejected by
+    either."""
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         for rid in ("a", "b", "c"):
             client.send(request("/credit/1", b"x", rid=rid))
             peer = accept(backend)
             assert peer.message()[1]["x-request-id"] == rid
             peer.send(reply[:-1] if reply.endswith(b"this") else reply)
-            assert refused(client) == "502"
-            assert peer.read_to_end() == b""  # given up, though it stays open at the other end
+            assert response_status(client) == "502"
+            assert peer.read_to_end() == b""  # the node closed it, though the backend keeps it open
         client.send(request(rid="d"))
         for body in (None, b"served"):
             peer = accept(backend)
@@ -438,7 +456,7 @@
         assert client.message()[2] == b"served"
 
 
-@numbered(
+@parametrize_by_number(
     "before,behind",
     [
         (b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n", b""),
@@ -446,24 +464,24 @@
         (b"", answer(b"stray")),
     ],
 )
-def test_a_good_answer_with_more_than_belongs_to_it_is_served(
+def test_valid_response_with_further_bytes_around_it_is_delivered(
     tmp_path: Path, before: bytes, behind: bytes
 ) -> None:
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         peer = None
         for rid in ("a", "b", "c"):
             client.send(request("/credit/1", b"x", rid=rid))
             peer = accept(backend) if peer is None or behind else peer
             assert peer.message()[1]["x-request-id"] == rid
-            good = answer(rid.encode(), "200 OK", 'X-Server-Load: {"', "X-Server-Load: =,=")
-            peer.send(before + good + behind)
+            valid = answer(rid.encode(), "200 OK", 'X-Server-Load: {"', "X-Server-Load: =,=")
+            peer.send(before + valid + behind)
             assert client.message()[2] == rid.encode()
 
 
-def test_noise_on_a_connection_at_rest_spoils_no_request(tmp_path: Path) -> None:
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_bytes_on_an_idle_connection_affect_no_request(tmp_path: Path) -> None:
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request("/credit/1", b"x", rid="a"))
         peer = accept(backend)
         peer.message()
@@ -477,27 +495,28 @@
         assert client.message()[2] == b"2"
 
 
-def test_descriptors_stay_within_their_budget(tmp_path: Path) -> None:
-    """More clients than descriptors: the oldest idle ones go, nobody is stuck."""
-    with pair(tmp_path, limits={"sockets": 64}) as (n, _):
-        clients = [n.connect() for _ in range(100)]
+def test_open_descriptors_stay_within_the_limit(tmp_path: Path) -> None:
+    """With more clients than descriptors the node closes the oldest idle connections, and every
+    client gets its response."""
+    with node_and_backend(tmp_path, limits={"sockets": 64}) as (running, _):
+        clients = [running.connect() for _ in range(100)]
         for client in clients:
             client.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         for client in clients:
             assert client.message()[0] == "HTTP/1.1 200 OK"
-            assert n.descriptors() <= 64
+            assert running.descriptors() <= 64
 
 
-def test_silent_connections_starve_no_usual_client(tmp_path: Path) -> None:
-    with pair(tmp_path, limits={"sockets": 64}) as (n, backend):
-        crowd = [n.connect() for _ in range(300)]
+def test_silent_connections_do_not_starve_a_client(tmp_path: Path) -> None:
+    with node_and_backend(tmp_path, limits={"sockets": 64}) as (running, backend):
+        silent_clients = [running.connect() for _ in range(300)]
         began = time.monotonic()
-        client = n.connect()
+        client = running.connect()
         client.send(request("/credit/1", b"x"))
-        peer = accept(backend)  # and the dial has its descriptor
+        peer = accept(backend)  # the dial got a descriptor as well
         peer.message()
         peer.send(answer(b"1"))
         assert client.message()[2] == b"1"
         assert time.monotonic() - began < 3
-        assert n.descriptors() <= 64
-        del crowd
+        assert running.descriptors() <= 64
+        del silent_clients
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Memory, descriptors and signals of the real node, on loopback sockets."""
+"""Memory, descriptors and signals of a node process, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -26,53 +26,54 @@
 )
 
 
-def test_a_crowd_of_bodies_stays_within_the_memory_limit(tmp_path: Path) -> None:
-    """Each fits, all together do not: some are refused, and the node goes on."""
+def test_many_bodies_together_stay_within_the_memory_limit(tmp_path: Path) -> None:
+    """Each body fits, but all together do not: some requests are refused, and the node goes on."""
     body = bytes(64 << 10)
     with listen() as backend:
-        known = roster(*(target(f"s-{i}", backend.getsockname()[1]) for i in range(8)))
-        with node(tmp_path, known, limits={"memory_mb": 32, "sockets": 1024}) as n:
-            clients = [n.connect() for _ in range(400)]
+        known_list = roster(*(target(f"s-{i}", backend.getsockname()[1]) for i in range(8)))
+        with node(tmp_path, known_list, limits={"memory_mb": 32, "sockets": 1024}) as running:
+            clients = [running.connect() for _ in range(400)]
             for i, client in enumerate(clients):
                 client.send(request("/credit/1", body[:-1], rid=f"r{i}", Content_Length="65536"))
             socks = [client.sock for client in clients]
-            wait_until(lambda: select.select(socks, [], [], 0)[0])  # one is refused already
-            client = n.connect()
+            wait_until(lambda: select.select(socks, [], [], 0)[0])  # at least one is refused
+            client = running.connect()
             client.send(request(rid="small"))
-            wait_until(lambda: b"x-request-id: small" in seen(backend).lower())
-            assert n.resident_mb("VmHWM") < 64
+            wait_until(lambda: b"x-request-id: small" in read_request_head(backend).lower())
+            assert running.resident_mb("VmHWM") < 64
 
 
-def seen(backend: socket.socket) -> bytes:
+def read_request_head(backend: socket.socket) -> bytes:
+    """Accept the next connection and read until a request's head is complete."""
     peer = accept(backend)
     while b"\r\n\r\n" not in peer.buffer:
         peer.receive()
     return peer.buffer
 
 
-def test_half_written_heads_cost_little_and_leave_the_node_serving(tmp_path: Path) -> None:
-    known = roster()
-    with node(tmp_path, known, limits={"sockets": 512}) as n:
-        before = n.resident_mb()
-        crowd = [n.connect() for _ in range(300)]
-        for i, client in enumerate(crowd):
+def test_incomplete_heads_use_little_memory_and_do_not_stop_service(tmp_path: Path) -> None:
+    known_list = roster()
+    with node(tmp_path, known_list, limits={"sockets": 512}) as running:
+        before = running.resident_mb()
+        clients = [running.connect() for _ in range(300)]
+        for i, client in enumerate(clients):
             client.send(
                 b"NONSENSE\r\n\r\n" if i % 2 else request()[:-2] + b"X-Attrs: " + b"a" * 8000
             )
-        for client in crowd[1::2]:
+        for client in clients[1::2]:
             assert client.message()[0].split(" ")[1] == "400"
-        client = n.connect()
+        client = running.connect()
         client.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         assert client.message()[0] == "HTTP/1.1 200 OK"
-        assert n.resident_mb() - before < 16
-        assert n.descriptors() <= 512
+        assert running.resident_mb() - before < 16
+        assert running.descriptors() <= 512
 
 
-def test_descriptors_come_back(tmp_path: Path) -> None:
-    """After a burst of clients the node holds what it held before."""
-    with node(tmp_path, roster()) as n:
+def test_bursts_of_clients_leak_no_descriptors(tmp_path: Path) -> None:
+    """After each burst of clients the node holds as many descriptors as before."""
+    with node(tmp_path, roster()) as running:
         for _ in range(3):
-            clients = [n.connect() for _ in range(100)]
+            clients = [running.connect() for _ in range(100)]
             for client in clients:
                 client.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             for client in clients:
@@ -81,10 +82,10 @@
             for client in clients:
                 assert client.read_to_end() == b""
                 client.close()
-            wait_until(lambda: n.descriptors() < 30)  # of its own it has about 15
+            wait_until(lambda: running.descriptors() < 30)  # the node itself needs about 15
 
 
-def test_a_term_during_start_up_is_a_stop_like_any_other(tmp_path: Path) -> None:
+def test_sigterm_during_startup_is_a_clean_stop(tmp_path: Path) -> None:
     process = launch(config(tmp_path, roster(), 1))
     assert process.stderr is not None
     wait_until_signal_handled(process, signal.SIGTERM)
@@ -93,79 +94,90 @@
     process.stderr.close()
 
 
-def test_a_stop_answers_what_a_silent_backend_holds(tmp_path: Path) -> None:
-    with listen() as backend, node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as n:
-        client = n.connect()
+def test_stop_answers_a_request_whose_backend_is_silent(tmp_path: Path) -> None:
+    with (
+        listen() as backend,
+        node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as running,
+    ):
+        client = running.connect()
         client.send(request("/credit/1", b"x", timeout=900))
         accept(backend).message()
-        n.process.send_signal(signal.SIGTERM)
+        running.process.send_signal(signal.SIGTERM)
         line, _, _ = client.message()
         assert line.split(" ")[1] in ("502", "504")
-        assert n.process.wait(HANG_TIMEOUT_S) == 0
+        assert running.process.wait(HANG_TIMEOUT_S) == 0
 
 
-def test_a_stop_reads_what_lies_unread_and_closes_what_rests(tmp_path: Path) -> None:
-    """A kept connection may carry one more request: no end before it is closed."""
-    with listen() as backend, node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as n:
-        kept, other = n.connect(), n.connect()
-        for client in (kept, other):
+def test_stop_serves_unread_requests_and_closes_idle_connections(tmp_path: Path) -> None:
+    """An idle connection may carry one more request, so a stop does not end before it is closed."""
+    with (
+        listen() as backend,
+        node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as running,
+    ):
+        idle, other = running.connect(), running.connect()
+        for client in (idle, other):
             client.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             client.message()
-        n.process.send_signal(signal.SIGTERM)
+        running.process.send_signal(signal.SIGTERM)
         other.send(request("/credit/1", b"x", timeout=900))
         peer = accept(backend)
         peer.message()
-        assert kept.read_to_end() == b""  # at rest: closed, while the other's answer is awaited
-        assert n.process.poll() is None
+        assert idle.read_to_end() == b""  # idle, so closed while the other awaits its response
+        assert running.process.poll() is None
         peer.send(answer(b"served"))
         assert other.message()[2] == b"served"
-        assert n.process.wait(HANG_TIMEOUT_S) == 0
+        assert running.process.wait(HANG_TIMEOUT_S) == 0
 
 
-def test_a_half_sent_request_does_not_hold_up_a_stop_for_good(tmp_path: Path) -> None:
-    with node(tmp_path, roster()) as n:
-        client = n.connect()
+def test_incomplete_request_does_not_block_a_stop(tmp_path: Path) -> None:
+    with node(tmp_path, roster()) as running:
+        client = running.connect()
         client.send(request()[:-10])
-        n.process.send_signal(signal.SIGTERM)
+        running.process.send_signal(signal.SIGTERM)
         assert client.message()[0].split(" ")[1] == "408"
-        assert n.process.wait(HANG_TIMEOUT_S) == 0
+        assert running.process.wait(HANG_TIMEOUT_S) == 0
 
 
-def test_memory_comes_back_after_a_crowd(tmp_path: Path) -> None:
-    """Ever new clients, ids and bodies: what the second crowd takes the third does not add to."""
-    with listen() as backend, node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as n:
+def test_memory_does_not_grow_from_one_crowd_of_clients_to_the_next(tmp_path: Path) -> None:
+    """Each round has new clients, request ids and bodies. After the second round the node's memory
+    must not grow any more."""
+    with (
+        listen() as backend,
+        node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as running,
+    ):
         peer = None
         sizes = []
-        for round_ in range(4):
+        for round_number in range(4):
             for i in range(300):
-                client = n.connect()
-                client.send(request("/credit/1", bytes(8000), rid=f"{round_}-{i}"))
+                client = running.connect()
+                client.send(request("/credit/1", bytes(8000), rid=f"{round_number}-{i}"))
                 if peer is None:
                     peer = accept(backend)
                 peer.message()
                 peer.send(answer(bytes(8000)))
                 client.message()
                 client.close()
-            sizes.append(n.resident_mb())
+            sizes.append(running.resident_mb())
         assert sizes[3] - sizes[1] < 2
 
 
-def test_clients_that_ask_once_and_stay_do_not_fill_the_places(tmp_path: Path) -> None:
-    """Past a part of the descriptors at rest an answer says close; one that is used stays."""
-    kept = -(-(120 - RESERVED_DESCRIPTORS) // SOCKETS_PER_IDLE_CLIENT)
-    with node(tmp_path, roster(), limits={"sockets": 120}) as n:
-        probe = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
-        told = []
+def test_idle_clients_beyond_their_share_are_told_to_close(tmp_path: Path) -> None:
+    """Beyond a fraction of the descriptors, responses carry `Connection: close`; a connection that
+    is used stays open. Otherwise unused connections would take all of the clients' descriptors."""
+    kept_count = -(-(120 - RESERVED_DESCRIPTORS) // SOCKETS_PER_IDLE_CLIENT)
+    with node(tmp_path, roster(), limits={"sockets": 120}) as running:
+        readiness_probe = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
+        connection_headers = []
         clients = []
-        for _ in range(3 * kept):
-            client = n.connect()
-            client.send(probe)
+        for _ in range(3 * kept_count):
+            client = running.connect()
+            client.send(readiness_probe)
             _, headers, _ = client.message()
-            told.append(headers.get("connection"))
+            connection_headers.append(headers.get("connection"))
             clients.append(client)
-        assert told == [None] * kept + ["close"] * (2 * kept)
-        for client in clients[kept:]:
+        assert connection_headers == [None] * kept_count + ["close"] * (2 * kept_count)
+        for client in clients[kept_count:]:
             assert client.read_to_end() == b""
             client.close()
-        clients[0].send(probe)
+        clients[0].send(readiness_probe)
         assert "connection" not in clients[0].message()[1]
--- a/windrelay/guard.py
+++ b/windrelay/guard.py
@@ -1,9 +1,9 @@
-"""What an exception that nobody foresaw costs: the connection it came up on, and no more.
+"""Limits the effect of an unexpected exception in a callback to the connection it occurred on.
 
-A callback of the loop that raises would else leave half a state behind: a request whose
-answer nobody owes any more, a place that is never given back, a timer that is never set
-again. Failures of peers and of the system are foreseen where they come up and never get
-here; what gets here is a fault of this program or of its libraries, and is counted.
+A callback of the event loop that raises would otherwise leave inconsistent state behind: a
+request that nobody answers any more, a slot that is never released, a timer that is never set
+again. Failures of peers and of the system are handled where they occur and do not get here. An
+exception that gets here is a fault of this program or of its libraries, and is counted.
 """
 
 from __future__ import annotations
@@ -14,19 +14,23 @@
 
 
 class GuardedConnection(Protocol):
-    """What `closes_connection_on_error` asks of a connection."""
+    """The interface of a connection whose callbacks `closes_connection_on_error` decorates."""
 
     def close_on_error(self, where: str, error: BaseException) -> None:
-        """Count and log the error, settle what hangs on the connection, and close it."""
+        """Count and log the exception, settle the connection's request or attempt, and close it.
+
+        `where` says in the log what was being done.
+        """
 
 
 def closes_connection_on_error(
     callback: Callable[..., None],
 ) -> Callable[..., None]:
-    """A method whose exception ends its connection; for callbacks off the hot path.
+    """Decorate a connection's method so that an exception in it closes that connection.
 
-    Of the callbacks the loop itself guards data_received and eof_received: it closes the
-    transport and tells connection_lost of the error (uvloop 0.23.0, handles/stream.pyx).
+    Meant for callbacks off the hot path. data_received and eof_received need no decorator: the
+    event loop catches their exceptions, closes the transport and passes the exception to
+    connection_lost (uvloop 0.23.0, handles/stream.pyx).
     """
 
     @wraps(callback)
