--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,5 @@
-"""Large and slow bodies both ways: passed on whole at the slower side's pace, or cut in sight."""
+"""Large and slow bodies of requests and responses: forwarded at the slower side's pace, or cut so
+that the receiver can tell."""
 
 from __future__ import annotations
 
@@ -33,39 +34,46 @@
 )
 from .inside import in_process_node
 
-BIG = 8 << 20
-NOISE = Random(1).randbytes(1 << 20)
+LARGE_BODY_BYTES = 8 << 20
+RANDOM_BYTES = Random(1).randbytes(1 << 20)
 
 
 def body(size: int) -> bytes:
-    return (NOISE * (size // len(NOISE) + 1))[:size]
+    """The same pseudo-random bytes for the same size."""
+    return (RANDOM_BYTES * (size // len(RANDOM_BYTES) + 1))[:size]
 
 
 @contextlib.contextmanager
-def pair(tmp_path: Path, **over: object) -> Iterator[tuple[RunningNode, socket.socket]]:
+def node_and_backend(
+    tmp_path: Path, **config_changes: object
+) -> Iterator[tuple[RunningNode, socket.socket]]:
+    """Start a node process with one backend, and yield both."""
     with listen() as backend:
-        known = roster(target("s-1", backend.getsockname()[1]))
-        with node(tmp_path, known, **over) as n:  # type: ignore[arg-type]
-            yield n, backend
+        known_list = roster(target("s-1", backend.getsockname()[1]))
+        with node(tmp_path, known_list, **config_changes) as running:  # type: ignore[arg-type]
+            yield running, backend
 
 
-def chunked(data: bytes, size: int) -> bytes:
+def chunk_encoded(data: bytes, size: int) -> bytes:
+    """A chunked body with chunks of `size` bytes, chunk extensions and a trailer field."""
     parts = (data[i : i + size] for i in range(0, len(data), size))
     return b"".join(b"%x;ext=1\r\n%s\r\n" % (len(p), p) for p in parts) + b"0\r\nX-Sum: 1\r\n\r\n"
 
 
-def in_background(peer: Peer, data: bytes) -> threading.Thread:
+def send_in_background(peer: Peer, data: bytes) -> threading.Thread:
+    """Send from a thread, because the data may exceed the socket buffers."""
+
     def send() -> None:
         with contextlib.suppress(OSError):
             peer.send(data)
 
-    thread = threading.Thread(target=send)
-    thread.start()
-    return thread
+    sender = threading.Thread(target=send)
+    sender.start()
+    return sender
 
 
-def dechunked(peer: Peer) -> bytes:
-    """A chunked body up to its last chunk; EOFError where it ends before."""
+def read_chunked_body(peer: Peer) -> bytes:
+    """Read a chunked body up to its last chunk; raises EOFError if the connection ends before."""
     whole = bytearray()
     while True:
         while b"\r\n" not in peer.buffer:
@@ -84,7 +92,8 @@
         peer.buffer = peer.buffer[count + 2 :]
 
 
-def head(peer: Peer) -> str:
+def read_head(peer: Peer) -> str:
+    """Read the head of the next message; raises EOFError if the connection ends before."""
     while b"\r\n\r\n" not in peer.buffer:
         if not peer.receive():
             raise EOFError
@@ -92,70 +101,75 @@
     return text.decode()
 
 
-# ---- answers ------------------------------------------------------------
+# ---- responses ----------------------------------------------------------
 
 
-@pytest.mark.parametrize("form", ["length", "chunks", "end"])
-@pytest.mark.parametrize("size", [0, 10, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, BIG])
-def test_an_answer_of_any_form_and_length_arrives_unchanged(
-    tmp_path: Path, form: str, size: int
+@pytest.mark.parametrize("framing", ["length", "chunked", "until close"])
+@pytest.mark.parametrize(
+    "size", [0, 10, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, LARGE_BODY_BYTES]
+)
+def test_response_of_any_framing_and_length_arrives_unchanged(
+    tmp_path: Path, framing: str, size: int
 ) -> None:
     data = body(size)
-    bytes_ = {
+    response = {
         "length": answer(data),
-        "chunks": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(data, 100_000),
-        "end": b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + data,
-    }[form]
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+        "chunked": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        + chunk_encoded(data, 100_000),
+        "until close": b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + data,
+    }[framing]
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request("/credit/1", b"x"))
         peer = accept(backend)
         peer.message()
 
         def serve() -> None:
-            peer.send(bytes_)
-            if form == "end":
+            peer.send(response)
+            if framing == "until close":
                 peer.sock.shutdown(socket.SHUT_WR)
 
-        thread = threading.Thread(target=serve)
-        thread.start()
-        first = head(client)
+        sender = threading.Thread(target=serve)
+        sender.start()
+        first = read_head(client)
         assert first.startswith("HTTP/1.1 200 ")
         if "chunked" in first:
-            got = dechunked(client)
+            got = read_chunked_body(client)
         else:
             while len(client.buffer) < size:
                 assert client.receive()
             got, client.buffer = client.buffer, b""
-        thread.join()
+        sender.join()
         assert sha256(got).digest() == sha256(data).digest()
-        # The connection goes on.
+        # The client's connection can still be used.
         client.send(request("/credit/2", b"y"))
-        again = accept(backend) if form == "end" else peer
+        again = accept(backend) if framing == "until close" else peer
         again.message()
         again.send(answer(b"next"))
         assert client.message()[2] == b"next"
 
 
-def test_a_connection_that_was_held_for_the_last_piece_is_read_from_again(
+def test_backend_connection_paused_for_the_last_piece_is_read_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The client's buffer fills with the very end: whoever would have let it go on has gone."""
+    """The last piece fills the buffer of the client's transport and so pauses the reading from the
+    backend. Nobody resumed reading after the response's end, and the next response on the same
+    backend connection was never read."""
     finish = ClientConnection.end_stream
 
-    def held(conn: ClientConnection) -> None:
+    def pause_then_end(conn: ClientConnection) -> None:
         assert conn._source is not None
         conn._source.pause_reading()
         finish(conn)
 
-    monkeypatch.setattr(ClientConnection, "end_stream", held)
+    monkeypatch.setattr(ClientConnection, "end_stream", pause_then_end)
     with (
         listen() as backend,
-        in_process_node(tmp_path, roster(target("s-1", port_of(backend)))) as i,
+        in_process_node(tmp_path, roster(target("s-1", port_of(backend)))) as in_process,
     ):
 
-        async def story() -> None:
-            port = i.server.listen(i.config.listen)
+        async def scenario() -> None:
+            port = in_process.server.listen(in_process.config.listen)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             peer: Peer | None = None
             for data in (body(MAX_BUFFERED_BODY_BYTES + 1), b"next"):
@@ -170,31 +184,32 @@
             assert peer is not None
             peer.close()
 
-        i.run(story())
+        in_process.run(scenario())
 
 
 def port_of(sock: socket.socket) -> int:
     return int(sock.getsockname()[1])
 
 
-def test_a_client_of_http_1_0_gets_no_chunks(tmp_path: Path) -> None:
+def test_http_1_0_client_gets_no_chunked_encoding(tmp_path: Path) -> None:
     data = body(300_000)
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request("/credit/1", b"x").replace(b"HTTP/1.1", b"HTTP/1.0"))
         peer = accept(backend)
         peer.message()
-        thread = in_background(
-            peer, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(data, 5000)
+        sender = send_in_background(
+            peer,
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk_encoded(data, 5000),
         )
-        assert "chunked" not in head(client)
+        assert "chunked" not in read_head(client)
         assert client.read_to_end() == data
-        thread.join()
+        sender.join()
 
 
-def test_an_answer_in_one_byte_pieces_is_whole(tmp_path: Path) -> None:
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_response_sent_byte_by_byte_is_complete(tmp_path: Path) -> None:
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request())
         peer = accept(backend)
         peer.message()
@@ -204,74 +219,74 @@
         assert client.message()[2] == b"in pieces"
 
 
-@pytest.mark.parametrize("form", ["length", "chunks", "end"])
+@pytest.mark.parametrize("framing", ["length", "chunked", "until close"])
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_an_answer_that_breaks_off_is_cut_where_the_client_can_tell_and_never_repeated(
-    tmp_path: Path, form: str, how: str
+def test_broken_response_is_visibly_cut_and_never_retried(
+    tmp_path: Path, framing: str, how: str
 ) -> None:
-    """A safe class too: its one answer has begun."""
-    if form == "end" and how == "close":
-        pytest.skip("its end is its end")
+    """A request of a safe class is not retried either: its response has begun."""
+    if framing == "until close" and how == "close":
+        pytest.skip("a close is the regular end of a response without a length")
     start = {
         "length": b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n",
-        "chunks": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n",
-        "end": b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
-    }[form]
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+        "chunked": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n",
+        "until close": b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
+    }[framing]
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request())
         peer = accept(backend)
         peer.message()
         peer.send(start + body(200_000))
-        head(client)
+        read_head(client)
         while len(client.buffer) < 190_000:
             assert client.receive()
         peer.reset() if how == "reset" else peer.close()
-        assert len(client.read_to_end()) < 210_000  # of 300,000, or with no last chunk
+        assert len(client.read_to_end()) < 210_000  # of 300,000 bytes, or without the last chunk
         assert not client.buffer.endswith(b"0\r\n\r\n")
-        again = n.connect()
+        again = running.connect()
         again.send(request(rid="next"))
         assert accept(backend).message()[1]["x-request-id"] == "next"
 
 
-def test_an_answer_that_stops_within_its_length_is_cut(tmp_path: Path) -> None:
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_response_that_stalls_before_its_end_is_cut(tmp_path: Path) -> None:
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request("/credit/1", b"x"))
         peer = accept(backend)
         peer.message()
         peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + body(200_000))
-        head(client)
+        read_head(client)
         assert client.read_to_end() == body(200_000)
         assert peer.read_to_end() == b""
 
 
-def test_a_cut_that_only_a_reset_can_tell_is_a_reset(tmp_path: Path) -> None:
-    """A client of HTTP/1.0 takes the end of the connection for the end of the answer."""
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_http_1_0_client_gets_a_reset_for_a_broken_response(tmp_path: Path) -> None:
+    """An HTTP/1.0 client takes a close of the connection for the end of the response."""
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request("/credit/1", b"x").replace(b"HTTP/1.1", b"HTTP/1.0"))
         peer = accept(backend)
         peer.message()
         peer.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n186a0\r\n" + body(99_999))
-        head(client)
+        read_head(client)
         peer.reset()
         with pytest.raises(ConnectionResetError):
             while client.sock.recv(65536):
                 pass
 
 
-def test_a_slow_reader_holds_the_server_back_and_not_the_node_s_memory(tmp_path: Path) -> None:
-    with pair(tmp_path, limits={"memory_mb": 64}) as (n, backend):
-        client = n.connect()
+def test_slow_reader_does_not_fill_the_node_memory(tmp_path: Path) -> None:
+    with node_and_backend(tmp_path, limits={"memory_mb": 64}) as (running, backend):
+        client = running.connect()
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16 << 10)
         client.send(request("/credit/1", b"x"))
         peer = accept(backend)
         peer.message()
         data = body(32 << 20)
-        before = n.resident_mb()
-        thread = in_background(peer, answer(data))
-        head(client)
+        before = running.resident_mb()
+        sender = send_in_background(peer, answer(data))
+        read_head(client)
         got = sha256(client.buffer)
         size = len(client.buffer)
         client.buffer = b""
@@ -280,38 +295,38 @@
             assert more
             got.update(more)
             size += len(more)
-        thread.join()
+        sender.join()
         assert got.digest() == sha256(data).digest()
-        assert n.resident_mb("VmHWM") - before < 8
+        assert running.resident_mb("VmHWM") - before < 8
 
 
-def test_a_client_that_leaves_within_an_answer_frees_its_server(tmp_path: Path) -> None:
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_client_that_leaves_during_a_response_frees_its_backend(tmp_path: Path) -> None:
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request("/credit/1", b"x"))
         peer = accept(backend)
         peer.message()
-        thread = in_background(peer, answer(body(32 << 20)))
-        head(client)
+        sender = send_in_background(peer, answer(body(32 << 20)))
+        read_head(client)
         client.reset()
-        thread.join(HANG_TIMEOUT_S)  # the node closed: the sender can't go on
-        assert not thread.is_alive()
-        before = n.descriptors()
-        again = n.connect()
+        sender.join(HANG_TIMEOUT_S)  # the node closed the connection, so that sending fails
+        assert not sender.is_alive()
+        before = running.descriptors()
+        again = running.connect()
         again.send(request())
         accept(backend).message()
-        assert n.descriptors() <= before + 2
+        assert running.descriptors() <= before + 2
 
 
-def test_a_second_request_within_an_answer_ends_the_connection(tmp_path: Path) -> None:
-    """No status line can be written into the middle of a body."""
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_second_request_during_a_streamed_response_ends_the_connection(tmp_path: Path) -> None:
+    """A status line can't be written in the middle of another response's body."""
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request("/credit/1", b"x"))
         peer = accept(backend)
         peer.message()
         peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + body(100_000))
-        head(client)
+        read_head(client)
         client.send(request())
         with contextlib.suppress(ConnectionResetError):
             while data := client.sock.recv(65536):
@@ -319,18 +334,18 @@
         assert b"HTTP/1.1" not in client.buffer and len(client.buffer) <= 100_000
 
 
-def test_no_time_limit_ends_an_answer_that_has_begun(tmp_path: Path) -> None:
-    """The attempt's and the request's own time run out within it."""
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
+def test_no_time_out_cuts_a_response_that_has_begun(tmp_path: Path) -> None:
+    """The time-outs of the attempt and of the request both expire during the response."""
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
         client.send(request(timeout=150))
         peer = accept(backend)
         peer.message()
         data = body(100_000)
         peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + data[:90_000])
-        head(client)
-        probe = n.connect()
-        for _ in range(40):  # some 400 ms of the node's own time
+        read_head(client)
+        probe = running.connect()
+        for _ in range(40):  # about 400 ms of the node's time
             probe.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             probe.message()
             threading.Event().wait(0.01)
@@ -340,18 +355,18 @@
         assert client.buffer == data
 
 
-# ---- the module -----------------------------------------------------------
+# ---- the Balancer ---------------------------------------------------------
 
 
-def test_an_answer_that_has_begun_frees_its_slot_and_counts_once() -> None:
+def test_response_that_has_begun_frees_its_slot_and_counts_once() -> None:
     balancer, host = build_balancer(Settings(classes=(PURE, UNSAFE), max_attempts=4), count=1)
     b = balancer.backends[100]
     for i in range(b.slot_limit + 1):
         balancer.on_request(0, i, 0, SECOND)
     assert b.in_flight == b.slot_limit == balancer.in_flight
     balancer.on_response_started(20 * MS, 0, 0, 20 * MS)
-    assert len(host.calls_named("send")) == b.slot_limit + 1  # the one that waited
-    balancer.on_response_started(21 * MS, 0, 0, 21 * MS)  # told twice
+    assert len(host.calls_named("send")) == b.slot_limit + 1  # the request that was queued
+    balancer.on_response_started(21 * MS, 0, 0, 21 * MS)  # the same event a second time
     assert b.in_flight == balancer.in_flight == b.slot_limit
     seen = balancer.classes[0].latency_count
     balancer.on_outcome(SECOND, 0, 0, 1, 20 * MS, True)
@@ -362,7 +377,7 @@
     assert 0 not in balancer.requests
 
 
-def test_an_answer_that_was_cut_is_neither_repeated_nor_refused() -> None:
+def test_response_that_was_cut_is_neither_retried_nor_refused() -> None:
     balancer, host = build_balancer(Settings(classes=(PURE,), max_attempts=4), count=2)
     balancer.on_request(0, 0, 0, SECOND)
     balancer.on_response_started(MS, 0, 0, MS)
@@ -378,128 +393,128 @@
 # ---- requests -------------------------------------------------------------
 
 
-@pytest.mark.parametrize("form", ["length", "chunks", "expect"])
-@pytest.mark.parametrize("size", [1000, (64 << 10) + 1, BIG])
-def test_a_body_of_any_form_and_length_reaches_its_server_unchanged(
-    tmp_path: Path, form: str, size: int
+@pytest.mark.parametrize("framing", ["length", "chunked", "expect"])
+@pytest.mark.parametrize("size", [1000, (64 << 10) + 1, LARGE_BODY_BYTES])
+def test_request_body_of_any_framing_and_length_arrives_unchanged(
+    tmp_path: Path, framing: str, size: int
 ) -> None:
     data = body(size)
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
-        if form == "chunks":
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
+        if framing == "chunked":
             whole = request("/credit/1", b"", Content_Length="", Transfer_Encoding="chunked")
-            thread = in_background(client, whole + chunked(data, 70_000))
-        elif form == "expect":
+            sender = send_in_background(client, whole + chunk_encoded(data, 70_000))
+        elif framing == "expect":
             client.send(request("/credit/1", b"", Content_Length=str(size), Expect="100-continue"))
-            assert head(client) == "HTTP/1.1 100 Continue"
-            thread = in_background(client, data)
+            assert read_head(client) == "HTTP/1.1 100 Continue"
+            sender = send_in_background(client, data)
         else:
-            thread = in_background(client, request("/credit/1", data))
+            sender = send_in_background(client, request("/credit/1", data))
         peer = accept(backend)
         _, headers, got = peer.message()
-        thread.join()
+        sender.join()
         assert headers["content-length"] == str(size) and "transfer-encoding" not in headers
         assert sha256(got).digest() == sha256(data).digest()
         peer.send(answer(b"ok"))
         assert client.message()[2] == b"ok"
 
 
-def test_a_long_request_whose_connection_breaks_before_its_last_byte_goes_elsewhere(
+def test_request_is_retried_when_its_connection_breaks_before_the_last_byte(
     tmp_path: Path,
 ) -> None:
-    """Unsafe: it is known that it never ran, since not all of it was written."""
-    data = body(BIG)
-    with pair(tmp_path) as (n, backend):
+    """The class is unsafe, but the request can't have run: the backend never got its last byte."""
+    data = body(LARGE_BODY_BYTES)
+    with node_and_backend(tmp_path) as (running, backend):
         backend.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 64 << 10)
-        client = n.connect()
-        thread = in_background(client, request("/credit/1", data, timeout=3000))
+        client = running.connect()
+        sender = send_in_background(client, request("/credit/1", data, timeout=3000))
         first = accept(backend)
         first.sock.recv(1000)
         first.reset()
         second = accept(backend)
         assert sha256(second.message()[2]).digest() == sha256(data).digest()
-        thread.join()
+        sender.join()
         second.send(answer(b"once"))
         assert client.message()[2] == b"once"
 
 
-def test_a_long_request_whose_connection_breaks_after_its_last_byte_does_not(
+def test_request_is_not_retried_when_its_connection_breaks_after_the_last_byte(
     tmp_path: Path,
 ) -> None:
-    data = body(BIG)
-    with pair(tmp_path) as (n, backend):
-        client = n.connect()
-        thread = in_background(client, request("/credit/1", data, timeout=3000))
+    data = body(LARGE_BODY_BYTES)
+    with node_and_backend(tmp_path) as (running, backend):
+        client = running.connect()
+        sender = send_in_background(client, request("/credit/1", data, timeout=3000))
         first = accept(backend)
         first.message()
-        thread.join()
+        sender.join()
         first.reset()
         assert client.message()[0].split(" ")[1] == "502"
 
 
-def test_a_body_that_does_not_fit_is_refused_and_what_it_held_comes_back(tmp_path: Path) -> None:
-    with in_process_node(tmp_path, roster(target("s-1", 1))) as i:
-        i.node.budget.set_limit(1 << 20)
+def test_body_beyond_the_memory_budget_is_refused_and_its_memory_released(tmp_path: Path) -> None:
+    with in_process_node(tmp_path, roster(target("s-1", 1))) as in_process:
+        in_process.node.budget.set_limit(1 << 20)
 
-        async def story() -> None:
-            port = i.server.listen(i.config.listen)
+        async def scenario() -> None:
+            port = in_process.server.listen(in_process.config.listen)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(request("/credit/1", b"", Content_Length=str(2 << 20)))
             assert b" 503 " in await reader.readline()
             writer.close()
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             whole = request("/credit/1", b"", Content_Length="", Transfer_Encoding="chunked")
-            writer.write(whole + chunked(body(2 << 20), 60_000)[: 1 << 21])
+            writer.write(whole + chunk_encoded(body(2 << 20), 60_000)[: 1 << 21])
             assert b" 503 " in await reader.readline()
             writer.transport.abort()
-            while i.node.client_count:
-                i.server.sweep()
+            while in_process.node.client_count:
+                in_process.server.sweep()
                 await asyncio.sleep(0.001)
-            assert i.node.budget.held_bytes == 0
+            assert in_process.node.budget.held_bytes == 0
 
-        i.run(story())
+        in_process.run(scenario())
 
 
-def test_patience_with_a_body_goes_by_what_has_come(tmp_path: Path) -> None:
-    """Sweeps are forced: no clock decides."""
-    with in_process_node(tmp_path, roster(target("s-1", 1))) as i:
+def test_time_out_of_a_body_grows_with_the_bytes_received(tmp_path: Path) -> None:
+    """The test calls each sweep itself, so that no clock is involved."""
+    with in_process_node(tmp_path, roster(target("s-1", 1))) as in_process:
 
-        async def story() -> None:
-            port = i.server.listen(i.config.listen)
+        async def scenario() -> None:
+            port = in_process.server.listen(in_process.config.listen)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(request("/credit/1", b"", Content_Length=str(400_000)))
-            await i.wait_until(lambda: i.server.connections)
-            (conn,) = i.server.connections
-            await i.wait_until(lambda: conn._headers_done)
+            await in_process.wait_until(lambda: in_process.server.connections)
+            (conn,) = in_process.server.connections
+            await in_process.wait_until(lambda: conn._headers_done)
             incoming = conn._incoming
             assert incoming is not None
-            for n in range(20):  # 16 KiB in a quarter of a second: the slowest line there is
+            for n in range(20):  # 16 KiB in 0.25 s: the slowest client line
                 writer.write(bytes(16 << 10))
-                await i.wait_until(lambda n=n: incoming.body_size >= (n + 1) * (16 << 10))  # type: ignore[misc]
-                i.server.sweep()
+                await in_process.wait_until(lambda n=n: incoming.body_size >= (n + 1) * (16 << 10))  # type: ignore[misc]
+                in_process.server.sweep()
             assert conn._incoming is incoming
-            for _ in range(60):  # and then nothing
-                i.server.sweep()
+            for _ in range(60):  # the client sends nothing more
+                in_process.server.sweep()
             assert b" 408 " in await reader.readline()
             writer.close()
 
-        i.run(story())
+        in_process.run(scenario())
 
 
-def test_descriptors_and_memory_come_back_after_many_large_answers(tmp_path: Path) -> None:
-    with pair(tmp_path, limits={"memory_mb": 64}) as (n, backend):
-        before = n.descriptors()
-        clients = [n.connect() for _ in range(10)]
+def test_many_large_responses_leak_no_descriptors_or_memory(tmp_path: Path) -> None:
+    with node_and_backend(tmp_path, limits={"memory_mb": 64}) as (running, backend):
+        before = running.descriptors()
+        clients = [running.connect() for _ in range(10)]
         for client in clients:
             client.send(request("/credit/1", b"x"))
         threads = []
-        for _ in range(3):  # as many as one server holds of ours; the rest follows
+        for _ in range(3):  # as many as one backend gets at a time; the others follow
             peer = accept(backend)
             peer.message()
-            threads.append(in_background(peer, answer(body(4 << 20))))
+            threads.append(send_in_background(peer, answer(body(4 << 20))))
         for client in clients:
             client.reset()
-        for thread in threads:
-            thread.join(HANG_TIMEOUT_S)
-        wait_until(lambda: n.descriptors() <= before + 4)
-        assert n.resident_mb("VmHWM") < 64
+        for sender in threads:
+            sender.join(HANG_TIMEOUT_S)
+        wait_until(lambda: running.descriptors() <= before + 4)
+        assert running.resident_mb("VmHWM") < 64
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -1,4 +1,4 @@
-"""Exceptions that nobody foresaw: each ends its connection, is counted, and loses no request."""
+"""Unexpected exceptions: each closes its connection, is counted, and loses no other request."""
 
 from __future__ import annotations
 
@@ -22,37 +22,37 @@
 from .inside import InProcessNode, in_process_node
 
 
-class Fault(Exception):
-    """Raised where the tests say."""
+class InjectedError(Exception):
+    """The exception that the tests raise."""
 
 
-class Once:
-    """A method that raises on its n-th call, and works on all others."""
+class RaisesOnNthCall:
+    """Wraps a method so that one of its calls raises InjectedError and all others work."""
 
-    def __init__(self, inner: Callable[..., Any], nth: int = 1) -> None:
-        self.inner = inner
-        self.left = nth
+    def __init__(self, wrapped: Callable[..., Any], call_number: int = 1) -> None:
+        self.wrapped = wrapped
+        self.calls_left = call_number
 
     def method(self) -> Callable[..., Any]:
         def call(*args: Any, **named: Any) -> Any:
-            self.left -= 1
-            if self.left == 0:
-                raise Fault(self.inner.__name__)
-            return self.inner(*args, **named)
+            self.calls_left -= 1
+            if self.calls_left == 0:
+                raise InjectedError(self.wrapped.__name__)
+            return self.wrapped(*args, **named)
 
-        call.__name__ = self.inner.__name__
+        call.__name__ = self.wrapped.__name__
         return call
 
 
-def failing_once(inner: Callable[..., Any]) -> Callable[..., Any]:
-    """The same method, raising on its first call; within its guard where it has one."""
-    if hasattr(inner, "__wrapped__"):
-        return closes_connection_on_error(Once(inner.__wrapped__).method())
-    return Once(inner).method()
+def raising_once(wrapped: Callable[..., Any]) -> Callable[..., Any]:
+    """The method, raising on its first call; still inside its decorator if it has one."""
+    if hasattr(wrapped, "__wrapped__"):
+        return closes_connection_on_error(RaisesOnNthCall(wrapped.__wrapped__).method())
+    return RaisesOnNthCall(wrapped).method()
 
 
 async def server(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A sound server: one answer for each request, until the end."""
+    """A backend without faults: one response for each request until the connection ends."""
     try:
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
@@ -63,8 +63,8 @@
         writer.close()
 
 
-async def ask(port: int, data: bytes) -> bytes:
-    """The status of the answer, or nothing where the connection ended without one."""
+async def request_status(port: int, data: bytes) -> bytes:
+    """Send a request; returns the response's status, empty if the connection ended without one."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     try:
@@ -77,7 +77,8 @@
 
 
 CALLBACKS: list[tuple[Any, str, tuple[bytes, ...]]] = [
-    # Where it raises, and what its client may see: never nothing at all in its time.
+    # The class and method that raises, and the statuses that its client may get, where b"" is a
+    # close. A client must never be left without any of these.
     (httptools, "HttpRequestParser", (b"500",)),  # in connection_made
     (ClientConnection, "data_received", (b"",)),
     (ClientConnection, "on_header", (b"500",)),
@@ -99,106 +100,114 @@
     (Balancer, "send", (b"502",)),
 ]
 
-AT_A_DIAL = frozenset(("dial", "HttpResponseParser", "on_headers_complete"))
+DIAL_CALLBACKS = frozenset(("dial", "HttpResponseParser", "on_headers_complete"))
 
 
-@pytest.mark.parametrize("fresh", [True, False], ids=["dialled", "kept"])
+@pytest.mark.parametrize("new_connection", [True, False], ids=["dialled", "kept"])
 @pytest.mark.parametrize(
-    ("owner", "name", "seen"), CALLBACKS, ids=[f"{o.__name__}.{n}" for o, n, _ in CALLBACKS]
+    ("owner", "name", "allowed_statuses"),
+    CALLBACKS,
+    ids=[f"{o.__name__}.{n}" for o, n, _ in CALLBACKS],
 )
-def test_a_callback_that_raises_costs_its_own_request_alone(
+def test_raising_callback_fails_no_request_but_its_own(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     owner: Any,
     name: str,
-    seen: tuple[bytes, ...],
-    fresh: bool,
+    allowed_statuses: tuple[bytes, ...],
+    new_connection: bool,
 ) -> None:
-    if not fresh and name in AT_A_DIAL:
-        pytest.skip("comes up at a dial alone")
+    if not new_connection and name in DIAL_CALLBACKS:
+        pytest.skip("called only when a backend connection is dialled")
 
-    async def drive(one: InProcessNode, port: int) -> None:
-        assert await ask(port, request("/credit/1", b"x")) == b"200"
-        if fresh:
-            assert one.node.upstream.close_oldest_idle()
+    async def scenario(in_process: InProcessNode, port: int) -> None:
+        assert await request_status(port, request("/credit/1", b"x")) == b"200"
+        if new_connection:
+            assert in_process.node.upstream.close_oldest_idle()
         with monkeypatch.context() as patch:
-            patch.setattr(owner, name, failing_once(getattr(owner, name)))
-            status = await ask(port, request("/credit/1", b"x", timeout=300))
-        assert status in seen, (status, one.log_lines)
-        assert any("Fault" in line for line in one.log_lines), "it never raised"
-        assert one.node.unexpected_error_count == 1
-        # Neither the outcomes' queue nor the timers stand still after it.
-        assert not one.node.in_event
+            patch.setattr(owner, name, raising_once(getattr(owner, name)))
+            status = await request_status(port, request("/credit/1", b"x", timeout=300))
+        assert status in allowed_statuses, (status, in_process.log_lines)
+        assert any(
+            "InjectedError" in line for line in in_process.log_lines
+        ), "the callback never raised"
+        assert in_process.node.unexpected_error_count == 1
+        # The queue of outcomes and the timers still work after the exception.
+        assert not in_process.node.in_event
         for _ in range(3):
-            assert await ask(port, request("/credit/1", b"x")) == b"200"
-        await one.wait_until(lambda: not one.node.requests and not one.node.open_request_count)
-        await one.wait_until(lambda: not one.node.client_count)
+            assert await request_status(port, request("/credit/1", b"x")) == b"200"
+        await in_process.wait_until(
+            lambda: not in_process.node.requests and not in_process.node.open_request_count
+        )
+        await in_process.wait_until(lambda: not in_process.node.client_count)
 
-    async def main(one: InProcessNode, listener: asyncio.Server) -> None:
-        port = one.server.listen(one.config.listen)
-        await drive(one, port)
+    async def main(in_process: InProcessNode, listener: asyncio.Server) -> None:
+        port = in_process.server.listen(in_process.config.listen)
+        await scenario(in_process, port)
         listener.close()
 
     async def start_server() -> asyncio.Server:
         return await asyncio.start_server(server, "127.0.0.1", 0)
 
-    # The server lives on the node's own loop: one thread, one order of events.
-    with in_process_node(tmp_path, roster(target("s-1", 1))) as one:
-        listener = one.run(start_server())
+    # The backend runs on the node's own event loop: one thread, one order of events.
+    with in_process_node(tmp_path, roster(target("s-1", 1))) as in_process:
+        listener = in_process.run(start_server())
         address = listener.sockets[0].getsockname()[1]
         rows = roster(target("s-1", int(address)), rev=2)
-        update, listings, endpoints, _ = one.node.discovery.backend_list.parse(rows)
-        one.node.discovery.backend_list.apply(2, update, listings, endpoints)
-        one.run(main(one, listener))
+        update, listings, endpoints, _ = in_process.node.discovery.backend_list.parse(rows)
+        in_process.node.discovery.backend_list.apply(2, update, listings, endpoints)
+        in_process.run(main(in_process, listener))
 
 
-def test_a_timer_that_raises_leaves_the_others_running(
+def test_raising_timer_does_not_stop_the_other_timers(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    with in_process_node(tmp_path, roster()) as one:
-        due: list[int] = []
+    with in_process_node(tmp_path, roster()) as in_process:
+        due_tokens: list[int] = []
 
         def on_timer(now: int, token: int) -> None:
-            due.append(token)
+            due_tokens.append(token)
             if token == 91:
-                raise Fault("a timer")
+                raise InjectedError("a timer")
 
-        monkeypatch.setattr(one.node.balancer, "on_timer", on_timer)
+        monkeypatch.setattr(in_process.node.balancer, "on_timer", on_timer)
 
-        async def drive() -> None:
+        async def scenario() -> None:
             now = time.monotonic_ns()
             for token in (91, 92):
-                one.node.schedule(now, token)
-            await one.wait_until(lambda: due.count(91) >= 2 and 92 in due)
+                in_process.node.schedule(now, token)
+            await in_process.wait_until(lambda: due_tokens.count(91) >= 2 and 92 in due_tokens)
 
-        one.run(drive())
-        assert one.node.unexpected_error_count >= 1 and not one.node.in_event
+        in_process.run(scenario())
+        assert in_process.node.unexpected_error_count >= 1 and not in_process.node.in_event
 
 
-def test_an_attempt_that_raises_as_it_is_given_up_does_not_stop_the_clock(
+def test_raising_abandon_does_not_stop_the_other_timers(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    with in_process_node(tmp_path, roster()) as one:
+    with in_process_node(tmp_path, roster()) as in_process:
 
         class Broken:
             def abandon(self) -> bool:
-                raise Fault("abandon")
+                raise InjectedError("abandon")
 
         now = time.monotonic_ns()
         attempts = [Attempt(None, 0, 1, now) for _ in range(2)]
         attempts[0].connection = Broken()
 
-        async def drive() -> None:
+        async def scenario() -> None:
             for a in attempts:
-                one.node.schedule(now, a)
-            await one.wait_until(lambda: attempts[1].concluded)
+                in_process.node.schedule(now, a)
+            await in_process.wait_until(lambda: attempts[1].concluded)
 
-        one.run(drive())
-        assert one.node.unexpected_error_count == 1
+        in_process.run(scenario())
+        assert in_process.node.unexpected_error_count == 1
 
 
-def test_the_loops_last_word_is_counted_and_ends_the_connection(tmp_path: Path) -> None:
-    with in_process_node(tmp_path, roster()) as one:
+def test_exception_reported_by_the_loop_is_counted_and_closes_the_connection(
+    tmp_path: Path,
+) -> None:
+    with in_process_node(tmp_path, roster()) as in_process:
 
         class Transport(asyncio.Transport):
             aborted = False
@@ -207,19 +216,22 @@
                 self.aborted = True
 
         transport = Transport()
-        one.loop.call_exception_handler(
-            {"message": "m", "exception": Fault("x"), "transport": transport}
+        in_process.loop.call_exception_handler(
+            {"message": "m", "exception": InjectedError("x"), "transport": transport}
+        )
+        in_process.loop.call_exception_handler({"message": "no exception"})
+        assert transport.aborted and in_process.node.unexpected_error_count == 2
+        assert (
+            "InjectedError" in in_process.log_lines[-2]
+            and "no exception" in in_process.log_lines[-1]
         )
-        one.loop.call_exception_handler({"message": "no exception"})
-        assert transport.aborted and one.node.unexpected_error_count == 2
-        assert "Fault" in one.log_lines[-2] and "no exception" in one.log_lines[-1]
 
 
-def test_what_raised_in_a_callback_ends_its_connection_on_uvloop_too(tmp_path: Path) -> None:
-    """Its transports are no instances of asyncio's; an error in `pause_writing` or
-    `resume_writing` it only reports, and the connection would stay open for good."""
+def test_raising_pause_writing_closes_the_connection_on_uvloop(tmp_path: Path) -> None:
+    """uvloop's transports are not instances of asyncio.Transport. uvloop only reports an exception
+    in `pause_writing` or `resume_writing`, and the connection would stay open indefinitely."""
 
-    async def drive(loop: asyncio.AbstractEventLoop) -> None:
+    async def scenario(loop: asyncio.AbstractEventLoop) -> None:
         near, far = socket.socketpair()
         with far:
             raised = asyncio.Event()
@@ -227,7 +239,7 @@
             class Raising(asyncio.Protocol):
                 def pause_writing(self) -> None:
                     raised.set()
-                    raise Fault("pause_writing")
+                    raise InjectedError("pause_writing")
 
             transport, _ = await loop.create_connection(Raising, sock=near)
             transport.write(bytes(8 << 20))  # more than a socket pair holds
@@ -235,25 +247,26 @@
             await asyncio.sleep(0)
             assert transport.is_closing()
 
-    with in_process_node(tmp_path, roster()) as one:
-        one.run(drive(one.loop))
-        assert one.node.unexpected_error_count == 1
+    with in_process_node(tmp_path, roster()) as in_process:
+        in_process.run(scenario(in_process.loop))
+        assert in_process.node.unexpected_error_count == 1
 
 
-def test_a_client_told_of_a_fault_gets_no_second_answer(tmp_path: Path) -> None:
-    """What raised came after the request was taken: its own answer arrives all the same."""
-    with in_process_node(tmp_path, roster()) as one:
-        port = one.server.listen(one.config.listen)
+def test_client_gets_no_second_response_after_a_500(tmp_path: Path) -> None:
+    """The exception comes after the request was taken, so that the request's own response still
+    arrives at the connection. Only the 500 may reach the client."""
+    with in_process_node(tmp_path, roster()) as in_process:
+        port = in_process.server.listen(in_process.config.listen)
 
-        async def drive() -> None:
+        async def scenario() -> None:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            await one.wait_until(lambda: one.server.connections)
-            (conn,) = one.server.connections
-            conn.close_on_error("a test", Fault("after it was taken"))
+            await in_process.wait_until(lambda: in_process.server.connections)
+            (conn,) = in_process.server.connections
+            conn.close_on_error("a test", InjectedError("after it was taken"))
             conn.send_empty_response(503, 0)
             data = await reader.read()
             assert data.count(b"HTTP/1.1") == 1 and data.startswith(b"HTTP/1.1 500 ")
             writer.close()
 
-        one.run(drive())
-        assert one.node.unexpected_error_count == 1
+        in_process.run(scenario())
+        assert in_process.node.unexpected_error_count == 1
--- a/windrelay/http_node.py
+++ b/windrelay/http_node.py
@@ -1,4 +1,4 @@
-"""The platform's node put together: HTTP on both sides, and the list of servers."""
+"""The HTTP node: a Node with a pool of HTTP backend connections and service discovery."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class HttpNode(Node):
-    """A node whose callers and servers speak HTTP/1.1."""
+    """A node whose clients and backends speak HTTP/1.1."""
 
     upstream: HttpConnectionPool
     discovery: Discovery
@@ -22,6 +22,6 @@
         self.upstream = HttpConnectionPool(self)
 
     def reload(self, config: Config) -> dict[str, int]:
-        numbers = super().reload(config)
+        class_numbers = super().reload(config)
         self.upstream.set_backend_idle_timeout(config.backend_idle_timeout)
-        return numbers
+        return class_numbers
--- a/windrelay/server.py
+++ b/windrelay/server.py
@@ -1,4 +1,4 @@
-"""Connections from clients: accepting, reading requests, writing answers."""
+"""Client connections of the node: accepting them, reading requests, writing responses."""
 
 from __future__ import annotations
 
@@ -25,38 +25,50 @@
     from windrelay.interfaces import StreamSource
     from windrelay.node import Node, Request
 
-MS = 1_000_000
-MAX_HEAD = 16 << 10
-MAX_BODY = 32 << 20  # the platform's bound
-MAX_ID = 128
-SMALL_BODY = 4 << 10  # never turned away for want of memory
-AT_ONCE = 64 << 10  # reserved for a body as its head says; for a longer one as it comes
-BACKLOG = 1024
-ACCEPTS = 64  # in one turn of the loop
-# Patience with slow clients, in sweeps: a node that was stopped for a while must
-# not take its own absence for the clients'. A client that does not get to a whole
-# request is owed an error or a close within 3 s of connecting.
+NS_PER_MS = 1_000_000
+MAX_HEAD_BYTES = 16 << 10
+MAX_BODY_BYTES = 32 << 20  # the platform's limit for a request body
+MAX_REQUEST_ID_BYTES = 128
+SMALL_BODY_BYTES = 4 << 10  # a body up to this size is never rejected for lack of memory
+# Memory for a body up to this Content-Length is reserved when the head is read; memory for a
+# longer body is reserved as the body arrives.
+MAX_UPFRONT_RESERVE_BYTES = 64 << 10
+LISTEN_BACKLOG = 1024
+MAX_ACCEPTS_PER_TURN = 64  # connections accepted in one turn of the event loop
+# Time-outs of slow clients are counted in sweeps and not in seconds: a node whose process was
+# stopped for a while must not close connections because of its own absence. A client that does
+# not complete a request must get an error or a close within 3 s of connecting.
 SWEEP_INTERVAL_S = 0.25
-SILENT_SWEEPS = 8  # connected and nothing said
-REQUEST_SWEEPS = 9  # for a head, from connecting or a later request's first byte; then a body
-# gets as many again, and one more for each so many bytes beyond the first that have come.
-BODY_A_SWEEP = 8 << 10  # half of the slowest line there is
-BODY_FREE = 32 << 10
-IDLE_SWEEPS = 16  # kept open between requests; where descriptors are short ...
-SHORT_IDLE_SWEEPS = 8  # ... only so long: less than 2 s is not allowed
-# Of the descriptors: connections kept at rest. Clients that ask once and keep theirs fill
-# their own share of places with connections that nobody uses, and then none can ask: with
-# 130 of them at rest two of three requests found no connection. Past this part an answer
-# says close. It could do harm where more clients than this ask in turn, each rarely: they
-# connect anew, as they do after IDLE_SWEEPS.
-SOCKETS_PER_IDLE_CLIENT = 6  # one in so many
-EVACUATE_SWEEPS = 2  # from the call to the first closes: the front has seen a no by then
-WRITE_SWEEPS = 12  # without a byte taken
-LINGER_SWEEPS = 4
-LINGER_BYTES = 64 << 10  # read and dropped; the rest is left with a client that goes on
-SILENT_S = 0.03  # a client connects in order to ask: what then says nothing may go
-# What accept says of the one connection it took from the queue (accept(2): errors that are
-# pending on the new socket already are passed on, and to be treated like EAGAIN).
+FIRST_BYTE_TIMEOUT_SWEEPS = 8  # from connecting to the first byte of a request
+# A head must be complete within this time, counted from connecting or, for a later request, from
+# the request's first byte. A body gets the same time again from the end of its head, and one more
+# sweep for each BODY_BYTES_PER_EXTRA_SWEEP bytes received beyond the first BODY_BASE_BYTES.
+REQUEST_READ_TIMEOUT_SWEEPS = 9
+BODY_BYTES_PER_EXTRA_SWEEP = 8 << 10  # half of what the slowest client line carries
+BODY_BASE_BYTES = 32 << 10
+IDLE_TIMEOUT_SWEEPS = 16  # a connection without a request is kept open this long
+SHORT_IDLE_TIMEOUT_SWEEPS = 8  # idle timeout while descriptors are short; 2 s is the least allowed
+# The node keeps at most one idle client connection per this many descriptors; beyond that a
+# response carries `Connection: close`. Otherwise clients that send one request and stay connected
+# fill the clients' share of the descriptors with unused connections: with 130 idle connections,
+# two of three requests found no connection. The limit could do harm where more clients than it
+# allows send requests in turn and rarely: they connect again for each request, as they do after
+# IDLE_TIMEOUT_SWEEPS.
+SOCKETS_PER_IDLE_CLIENT = 6
+# From an `evacuate` call to the first closes of idle connections. By then the front-end load
+# balancer has seen a readiness probe fail.
+EVACUATION_DELAY_SWEEPS = 2
+WRITE_TIMEOUT_SWEEPS = 12  # a client that takes no byte of its response for this long is cut off
+LINGER_TIMEOUT_SWEEPS = 4  # from the last response to the client's close
+# Bytes read and discarded during a lingering close. After that the node stops reading, and what
+# the client still sends stays in the client's own send buffer.
+MAX_LINGER_BYTES = 64 << 10
+# A connection on which the client has sent nothing for this long may be evicted: a client connects
+# in order to send a request at once. A paused accept loop is retried at the same interval.
+EVICTABLE_SILENCE_S = 0.03
+# Errors of accept that concern only the connection at the head of the queue, after which accept is
+# called again: accept(2) passes on errors that are already pending on the new socket, and says to
+# treat them like EAGAIN.
 ACCEPT_RETRY_ERRNOS = frozenset(
     (
         errno.ECONNABORTED, errno.ECONNRESET, errno.EPROTO, errno.EPIPE, errno.ETIMEDOUT,
@@ -64,15 +76,15 @@
         errno.ENOPROTOOPT, errno.EOPNOTSUPP, errno.EPERM, errno.EINTR,
     )
 )  # fmt: skip
-EVICTED = 4  # connections given up at a time where a descriptor is wanted
-LOOKED_AT = 16  # candidates for it
+MAX_EVICTIONS = 4  # connections closed at a time when a descriptor is needed
+MAX_EVICTION_CANDIDATES = 16  # connections examined at a time for eviction
 
-RESET = struct.pack("ii", 1, 0)  # of SO_LINGER: a close resets the connection
-TCP_INFO_SIZE = 56
-LAST_DATA_RECEIVED = struct.Struct("=52xI")
-QUEUED = struct.Struct("i")
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER value that makes a close reset
+TCP_INFO_BYTES = 56  # the part of struct tcp_info that ends with tcpi_last_data_recv
+TCP_INFO_LAST_DATA_RECV = struct.Struct("=52xI")  # milliseconds since data last arrived
+SEND_QUEUE_BYTES = struct.Struct("i")  # result of ioctl(TIOCOUTQ): unacknowledged bytes
 
-REASONS = {
+REASON_PHRASES = {
     400: b"Bad Request",
     404: b"Not Found",
     405: b"Method Not Allowed",
@@ -86,19 +98,20 @@
     504: b"Gateway Timeout",
 }
 EMPTY_RESPONSE_HEADS = {
-    status: b"HTTP/1.1 %d %s\r\nContent-Length: 0\r\n" % (status, reason)
-    for status, reason in REASONS.items()
+    status: b"HTTP/1.1 %d %s\r\nContent-Length: 0\r\n" % (status, phrase)
+    for status, phrase in REASON_PHRASES.items()
 }
-READY = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n"
+READY_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n"
 
-# Of one hop only, or written anew for each attempt.
-NOT_PASSED_ON = frozenset(
+# Request headers that are not forwarded: they concern one hop, or each attempt writes its own.
+NOT_FORWARDED_HEADERS = frozenset(
     (
         b"connection", b"content-length", b"expect", b"keep-alive", b"proxy-connection",
         b"te", b"trailer", b"transfer-encoding", b"upgrade", b"x-timeout-ms",
     )
 )  # fmt: skip
-READ = frozenset(
+# Request headers that the node reads itself. Each of them but Connection may appear only once.
+INTERPRETED_HEADERS = frozenset(
     (
         b"connection", b"content-length", b"expect", b"host", b"transfer-encoding", b"x-cost",
         b"x-priority-class", b"x-request-id", b"x-retried", b"x-tenant-id", b"x-timeout-ms",
@@ -106,91 +119,103 @@
 )  # fmt: skip
 
 
-READ_ALREADY: dict[bytes, bytes] = {}
+NO_HEADERS: dict[bytes, bytes] = {}  # shared by all requests whose headers are no longer needed
 
 
 class BadRequest(Exception):
-    """The request gets this status and its connection is closed."""
+    """The request is rejected with this HTTP status, and its connection is closed."""
 
-    def __init__(self, status: int, why: object = "") -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: object = "") -> None:
+        super().__init__(reason)
         self.status = status
 
 
 class IncomingRequest:
-    """A request as it is read; `head` is what each attempt starts with."""
+    """A client's request while the node reads it, and for as long as the node keeps the request.
+
+    `head` is the start of the message that each attempt sends, up to the value of X-Timeout-Ms.
+    `received_ns` is on the monotonic clock.
+    """
 
     __slots__ = (
-        "body", "body_size", "chunked", "class_number", "classes_version", "cost_hint", "head",
-        "headers", "is_probe", "is_retry", "keep_alive", "key", "length", "lines", "method",
-        "old", "received", "request_id", "reserved_bytes", "tenant", "timeout_ns", "url",
+        "body", "body_size", "chunked", "class_number", "classes_version", "content_length",
+        "cost_hint", "head", "header_lines", "headers", "is_http_1_0", "is_probe", "is_retry",
+        "keep_alive", "key", "method", "received_ns", "request_id", "reserved_bytes", "tenant",
+        "timeout_ns", "url",
     )  # fmt: skip
 
     def __init__(self) -> None:
         self.url = b""
         self.method = b""
-        self.lines: list[bytes] = []
+        self.header_lines: list[bytes] = []
         self.headers: dict[bytes, bytes] = {}
         self.body: list[bytes] = []
         self.body_size = 0
-        self.reserved_bytes = 0  # bytes of the node's budget
+        self.reserved_bytes = 0  # taken from the node's memory budget for the body
         self.request_id = b""
-        self.length = 0
+        self.content_length = 0
         self.chunked = False
         self.head = b""
         self.keep_alive = True
-        self.old = False  # of HTTP/1.0: its answer knows no chunks
+        self.is_http_1_0 = False  # the response must not use chunked encoding
         self.is_probe = False
         self.class_number = 0
         self.tenant = 0
-        self.key = 0
+        self.key = 0  # CRC-32 of the path's last segment; 0 if there is none
         self.cost_hint = 0
         self.is_retry = False
         self.timeout_ns = 0
-        self.received = 0
-        self.classes_version = 0  # of the classes that its head was held against
+        self.received_ns = 0
+        self.classes_version = 0  # version of Server's classes that the head was checked against
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection; it carries one request at a time."""
+    """A connection from a client, which carries one request at a time.
+
+    Implements interfaces.StreamingCaller for the request under way.
+    """
 
     __slots__ = (
-        "_chunked", "_closing", "_dropped", "_eof", "_head_size", "_headers_done", "_incoming",
-        "_keep_alive", "_lingering", "_old", "_parser", "_progress", "_request", "_server",
-        "_since", "_sock", "_source", "_transport", "_unframed", "_whole", "_write_since",
-        "counted",
+        "_close_after_response", "_complete_request", "_delimited_by_close", "_discarded_bytes",
+        "_half_closed", "_head_bytes", "_headers_done", "_incoming", "_is_http_1_0",
+        "_keep_alive", "_last_write_sweep", "_lingering", "_parser", "_request",
+        "_response_chunked", "_server", "_since_sweep", "_sock", "_source", "_transport",
+        "_unsent_sizes", "is_counted",
     )  # fmt: skip
 
     def __init__(self, server: Server, sock: socket.socket) -> None:
         self._server = server
         self._sock = sock
-        self.counted = True  # among the node's clients, until it is lost
+        self.is_counted = True  # included in node.client_count until the connection is lost
         self._transport: asyncio.Transport | None = None
         self._parser: httptools.HttpRequestParser | None = None
         self._incoming: IncomingRequest | None = None
-        self._whole: IncomingRequest | None = None  # read, and not begun yet
+        self._complete_request: IncomingRequest | None = None  # read completely, not started yet
         self._request: Request | None = None
         self._headers_done = False
-        self._head_size = 0
+        self._head_bytes = 0
         self._keep_alive = True
-        self._eof = False
+        self._half_closed = False
         self._lingering = False
-        self._dropped = 0  # bytes, while lingering
-        self._since = server.sweeps  # when it connected, began to ask, to rest or to linger
-        self._write_since = 0
-        self._progress = (0, 0)
-        self._source: StreamSource | None = None  # of the answer that is passed on
-        self._chunked = False  # that answer goes in chunks
-        self._unframed = False  # or till the connection's end
-        self._closing = False  # and the connection ends behind it
-        self._old = False  # the client speaks HTTP/1.0
+        self._discarded_bytes = 0  # received during the lingering close
+        # Number of the sweep at which the connection's present phase began: connecting, reading
+        # a head or a body, idling or lingering.
+        self._since_sweep = server.sweep_count
+        self._last_write_sweep = 0  # last sweep that found nothing unsent, or progress
+        self._unsent_sizes = (0, 0)  # bytes buffered by the transport, unacknowledged in the kernel
+        self._source: StreamSource | None = None  # source of the response that is being streamed
+        self._response_chunked = False  # the streamed response uses chunked encoding
+        self._delimited_by_close = False  # the streamed response ends where the connection ends
+        self._close_after_response = False
+        self._is_http_1_0 = False
 
     # ---- reading ------------------------------------------------------
 
     @closes_connection_on_error
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        if not self.counted:
-            cast(asyncio.Transport, transport).abort()  # its welcome was given up
+        if not self.is_counted:
+            # _check_attached has already reported this connection as lost.
+            cast(asyncio.Transport, transport).abort()
             return
         self._transport = cast(asyncio.Transport, transport)
         self._parser = httptools.HttpRequestParser(self)
@@ -200,14 +225,14 @@
     def data_received(self, data: bytes) -> None:
         parser = self._parser
         if parser is None:
-            # Lingering. A client that goes on sending 60 MB has its answer before it:
-            # reading all that would cost more than a hundred requests.
-            self._dropped += len(data)
-            if self._dropped > LINGER_BYTES:
+            # Lingering close: the client has its response already. Reading the rest of a 60 MB
+            # body would cost more than a hundred requests.
+            self._discarded_bytes += len(data)
+            if self._discarded_bytes > MAX_LINGER_BYTES:
                 self._pause_reading()
             return
         if not self._headers_done:
-            self._head_size += len(data)
+            self._head_bytes += len(data)
         try:
             parser.feed_data(data)
         except httptools.HttpParserCallbackError as err:
@@ -220,26 +245,27 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as err:
             self._reject(400, err)
             return
-        whole, self._whole = self._whole, None
-        if whole is not None:
+        incoming, self._complete_request = self._complete_request, None
+        if incoming is not None:
             try:
-                self._start_request(whole)
+                self._start_request(incoming)
             except Exception as err:
-                self.close_on_error("a request", err)
-        elif not self._headers_done and self._head_size > MAX_HEAD:
+                self.close_on_error("starting a request", err)
+        elif not self._headers_done and self._head_bytes > MAX_HEAD_BYTES:
             self._reject(431)
 
     def on_message_begin(self) -> None:
-        if self._request is not None or self._whole is not None:
-            # Clients send one request at a time. Whoever sends more has not been told
-            # how the first ended, and what looks like the next may have been hidden in
-            # the first one's body: none of it is served. It could harm clients that
-            # pipeline, which the protocol does not know.
-            raise BadRequest(400, "a request ahead of the answer")
+        if self._request is not None or self._complete_request is not None:
+            # A client sends one request at a time. Bytes that look like a second request, sent
+            # before the first one's response, may have been hidden in the first one's body
+            # (request smuggling): neither request is served. This would harm clients that
+            # pipeline, which the platform's protocol does not provide for.
+            raise BadRequest(400, "next request sent before the response to the first")
         self._incoming = IncomingRequest()
         self._headers_done = False
-        if self._server.awaiting_first_request.pop(self, None) is None:  # not its first request
-            self._since = self._server.sweeps
+        if self._server.awaiting_first_request.pop(self, None) is None:
+            # A later request's time-out starts here, the first one's when the client connected.
+            self._since_sweep = self._server.sweep_count
         self._server.idle.pop(self, None)
 
     def on_url(self, url: bytes) -> None:
@@ -247,76 +273,80 @@
         self._incoming.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Collect one header field: those that are interpreted, and those that are forwarded."""
         incoming = self._incoming
         if incoming is None or self._headers_done:
-            return  # a trailer
+            return  # a trailer field of a chunked body
         lower = name.lower()
-        # The parser leaves the white space that may follow a value: taken as part
-        # of it, a class or a number was not known.
+        # The parser keeps white space that follows a value. Left there, it made a class name
+        # or a number unknown.
         value = value.strip(b" \t")
-        if lower in READ:
+        if lower in INTERPRETED_HEADERS:
             if lower in incoming.headers and lower != b"connection":
-                raise BadRequest(400, f"{lower!r} twice")  # which of the two would be meant?
+                raise BadRequest(400, f"{lower!r} header given twice")
             incoming.headers[lower] = value
-        if lower not in NOT_PASSED_ON:
-            incoming.lines.append(b"%s: %s\r\n" % (name, value))
+        if lower not in NOT_FORWARDED_HEADERS:
+            incoming.header_lines.append(b"%s: %s\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
         incoming, parser = self._incoming, self._parser
         assert incoming is not None and parser is not None
         self._headers_done = True
-        self._head_size = 0
+        self._head_bytes = 0
         if incoming.url[:7].lower() == b"http://":
-            # A proxy must take the absolute form; backends get the path alone.
+            # A proxy must accept the absolute form of a URL; backends get the path alone.
             incoming.url = b"/" + incoming.url[7:].partition(b"/")[2]
         incoming.method = parser.get_method()
         incoming.keep_alive = parser.should_keep_alive()
-        incoming.old = parser.get_http_version() == "1.0"
+        incoming.is_http_1_0 = parser.get_http_version() == "1.0"
         if parser.should_upgrade():
-            raise BadRequest(400, "upgrade")  # the parser would not read its body
-        size = len(incoming.url) + sum(map(len, incoming.lines))
-        if size > MAX_HEAD:
+            # The parser does not read the body of a request with an Upgrade header.
+            raise BadRequest(400, "protocol upgrade is not supported")
+        head_bytes = len(incoming.url) + sum(map(len, incoming.header_lines))
+        if head_bytes > MAX_HEAD_BYTES:
             raise BadRequest(431)
         self._server.read_head(incoming)
-        if incoming.length > MAX_BODY:
+        if incoming.content_length > MAX_BODY_BYTES:
             raise BadRequest(413)
-        if incoming.length > AT_ONCE:
-            self._fits(incoming.length)
+        if incoming.content_length > MAX_UPFRONT_RESERVE_BYTES:
+            self._check_body_room(incoming.content_length)
         else:
-            self._reserve(incoming, incoming.length)
-        if incoming.length or incoming.chunked:
-            self._since = self._server.sweeps
-        if (incoming.length or incoming.chunked) and (
+            self._reserve_body_bytes(incoming, incoming.content_length)
+        if incoming.content_length or incoming.chunked:
+            self._since_sweep = self._server.sweep_count
+        if (incoming.content_length or incoming.chunked) and (
             incoming.headers.get(b"expect", b"").lower() == b"100-continue"
         ):
             assert self._transport is not None
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _reserve(self, incoming: IncomingRequest, size: int) -> None:
-        """Take so many bytes of the budget, as the head says or as chunks come.
+    def _reserve_body_bytes(self, incoming: IncomingRequest, total_bytes: int) -> None:
+        """Raise the request's share of the node's memory budget to `total_bytes`.
 
-        A crowd of bodies that fit one by one must not take the node's memory. None of
-        them was sent on, so they are refused, and small ones always pass.
+        Many bodies that fit one by one must not use up the node's memory together. A body that
+        does not fit is rejected with 503, because nothing of its request was sent to a backend.
+        Bodies up to SMALL_BODY_BYTES are always accepted.
         """
-        more = size - incoming.reserved_bytes
-        if more <= 0:
+        extra_bytes = total_bytes - incoming.reserved_bytes
+        if extra_bytes <= 0:
             return
-        if size > SMALL_BODY:
-            self._fits(more)
-        self._server.node.budget.reserve(more)
-        incoming.reserved_bytes = size
-
-    def _fits(self, more: int) -> None:
-        if not self._server.node.budget.has_room(more):
+        if total_bytes > SMALL_BODY_BYTES:
+            self._check_body_room(extra_bytes)
+        self._server.node.budget.reserve(extra_bytes)
+        incoming.reserved_bytes = total_bytes
+
+    def _check_body_room(self, extra_bytes: int) -> None:
+        """Raise BadRequest unless the node's memory budget has room for this many bytes."""
+        if not self._server.node.budget.has_room(extra_bytes):
             raise BadRequest(503, "no memory for its body")
 
     def on_body(self, body: bytes) -> None:
         incoming = self._incoming
         assert incoming is not None
         incoming.body_size += len(body)
-        if incoming.body_size > MAX_BODY:
+        if incoming.body_size > MAX_BODY_BYTES:
             raise BadRequest(413)
-        self._reserve(incoming, incoming.body_size)
+        self._reserve_body_bytes(incoming, incoming.body_size)
         incoming.body.append(body)
 
     def on_message_complete(self) -> None:
@@ -324,27 +354,31 @@
         assert incoming is not None
         self._incoming = None
         self._headers_done = False
-        self._head_size = 0
-        # What waited in the kernel while the loop was busy is the client's time.
-        info = self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
-        (unread_ms,) = LAST_DATA_RECEIVED.unpack(info)
-        incoming.received = time.monotonic_ns() - unread_ms * MS
+        self._head_bytes = 0
+        # The time that the last bytes waited in the kernel while the loop was busy counts
+        # against the request's deadline.
+        tcp_info = self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
+        (unread_ms,) = TCP_INFO_LAST_DATA_RECV.unpack(tcp_info)
+        incoming.received_ns = time.monotonic_ns() - unread_ms * NS_PER_MS
         if not incoming.is_probe:
             if incoming.method == b"POST" or incoming.body_size:
-                incoming.lines.append(b"Content-Length: %d\r\n" % incoming.body_size)
-            lines = b"".join(incoming.lines)
+                incoming.header_lines.append(b"Content-Length: %d\r\n" % incoming.body_size)
+            headers = b"".join(incoming.header_lines)
             incoming.head = b"%s %s HTTP/1.1\r\n%sX-Timeout-Ms: " % (
                 incoming.method,
                 incoming.url,
-                lines,
+                headers,
             )
-        incoming.lines = []
-        # Begun once all that came with it has been read: it may not be alone.
-        self._whole = incoming
+        incoming.header_lines = []
+        # data_received starts the request once the parser has read all bytes that arrived with
+        # it: further bytes would be a second request, and neither would be served.
+        self._complete_request = incoming
 
     def _revalidate_head(self, incoming: IncomingRequest) -> bool:
-        """Hold the head against the classes again where they have changed since it was read:
-        its body was slow. False where it was turned away for it."""
+        """Check the head again if the classes have changed while the body arrived.
+
+        Returns False if the request was rejected under the new classes.
+        """
         server = self._server
         if incoming.classes_version == server.classes_version or incoming.is_probe:
             return True
@@ -357,15 +391,18 @@
         return True
 
     def _start_request(self, incoming: IncomingRequest) -> None:
+        """Pass a complete request to the node, or answer it here: probes and rejections."""
         if not self._revalidate_head(incoming):
             return
         self._keep_alive = incoming.keep_alive
-        self._old = incoming.old
+        self._is_http_1_0 = incoming.is_http_1_0
         node = self._server.node
         if incoming.is_probe:
             server = self._server
-            self._write_head(
-                EMPTY_RESPONSE_HEADS[503] if server.stopping or server.evacuated else READY
+            self._write_response(
+                EMPTY_RESPONSE_HEADS[503]
+                if server.stopping or server.evacuated
+                else READY_RESPONSE_HEAD
             )
             return
         if self._server.refusing_requests:
@@ -374,12 +411,12 @@
             return
         if node.is_repeated(incoming.request_id):
             node.budget.release(incoming.reserved_bytes)
-            self._reject(400, "the id of another request")
+            self._reject(400, "X-Request-ID of an open or recently ended request")
             return
-        incoming.headers = READ_ALREADY  # the rest is kept as long as the request is
-        waited = time.monotonic_ns() - incoming.received
-        # Set first: the answer may come before the call returns.
-        request = node.start_request(self, incoming, waited)
+        incoming.headers = NO_HEADERS  # frees memory while the node keeps the request
+        waited_ns = time.monotonic_ns() - incoming.received_ns
+        # The request may have been answered before the call returns.
+        request = node.start_request(self, incoming, waited_ns)
         if request is None:
             node.budget.release(incoming.reserved_bytes)
             self.send_empty_response(503, 0)
@@ -390,39 +427,41 @@
         if self._transport is not None:
             self._transport.pause_reading()
 
-    # ---- answering ----------------------------------------------------
+    # ---- complete responses (interfaces.Caller) --------------------------
 
     def send_response(self, content_type: bytes, chunks: list[bytes], size: int) -> None:
-        """The whole answer of a backend."""
+        """Send the complete response of a backend; `size` is the length of the body in bytes."""
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n" % size
         if content_type:
             head += b"Content-Type: %s\r\n" % content_type
-        self._write_head(head, chunks)
+        self._write_response(head, chunks)
 
-    # ---- passing an answer on (interfaces.StreamingCaller) --------------------------
+    # ---- streamed responses (interfaces.StreamingCaller) --------------------------
 
     def begin_stream(self, content_type: bytes, length: int, source: StreamSource) -> None:
         transport = self._transport
         if transport is None or self._lingering or transport.is_closing():
-            return  # gone; connection_lost tells the source
+            return  # the connection is closing; connection_lost cancels the source
         self._source = source
-        self._unframed = length < 0 and self._old
-        self._chunked = length < 0 and not self._old
-        self._closing = self._unframed or self._closes()
+        self._delimited_by_close = length < 0 and self._is_http_1_0
+        self._response_chunked = length < 0 and not self._is_http_1_0
+        self._close_after_response = self._delimited_by_close or self._should_close()
         head = b"HTTP/1.1 200 OK\r\n"
         if length >= 0:
             head += b"Content-Length: %d\r\n" % length
-        elif self._chunked:
+        elif self._response_chunked:
             head += b"Transfer-Encoding: chunked\r\n"
         if content_type:
             head += b"Content-Type: %s\r\n" % content_type
-        transport.write(head + (b"Connection: close\r\n\r\n" if self._closing else b"\r\n"))
+        transport.write(
+            head + (b"Connection: close\r\n\r\n" if self._close_after_response else b"\r\n")
+        )
 
     def send_data(self, data: bytes) -> None:
         transport = self._transport
         if self._source is None or transport is None or transport.is_closing():
             return
-        if self._chunked:
+        if self._response_chunked:
             transport.write(b"%x\r\n%s\r\n" % (len(data), data))
         else:
             transport.write(data)
@@ -433,19 +472,19 @@
             return
         self._source = None
         self._request = None
-        if self._chunked:
+        if self._response_chunked:
             transport.write(b"0\r\n\r\n")
-        # Nothing more comes of a client that has ended its sending meanwhile.
-        self._answered(self._closing or self._eof)
+        # No further request can arrive from a client that has meanwhile ended its sending.
+        self._finish_response(self._close_after_response or self._half_closed)
 
     def abort_stream(self) -> None:
         source, self._source = self._source, None
         self._request = None
         if self._transport is not None:
-            if source is not None and self._unframed:
-                # Nothing but a reset tells it from an answer that is whole.
+            if source is not None and self._delimited_by_close:
+                # Only a reset lets the client tell this response from a complete one.
                 with contextlib.suppress(OSError):
-                    self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                    self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             self._transport.abort()
 
     def pause_writing(self) -> None:
@@ -457,119 +496,127 @@
             self._source.resume_reading()
 
     def send_empty_response(self, status: int, retry_after: int) -> None:
+        """Send a response without a body; `retry_after` is in nanoseconds, 0 for no such header."""
         head = EMPTY_RESPONSE_HEADS[status]
         if retry_after:
             head += b"Retry-After: %.3f\r\n" % (retry_after / 1e9)
-        self._write_head(head)
+        self._write_response(head)
 
     def refuse(self, retry_after: int) -> None:
+        """Send 503; `retry_after` is in nanoseconds, 0 for no Retry-After header."""
         self.send_empty_response(503, retry_after)
 
     def fail(self, late: bool) -> None:
+        """Send 504 if the request's time is over, else 502."""
         self.send_empty_response(504 if late else 502, 0)
 
-    def _closes(self) -> bool:
+    def _should_close(self) -> bool:
+        """Whether the connection closes after the response that is about to be sent."""
         server = self._server
         return (
             not self._keep_alive
             or len(server.idle) * SOCKETS_PER_IDLE_CLIENT >= server.node.max_connections
-            or self._eof
+            or self._half_closed
             or server.stopping
             or server.evacuated
         )
 
-    def _write_head(self, head: bytes, chunks: list[bytes] | None = None) -> None:
-        """Write an answer that is whole, and go on to what follows it."""
+    def _write_response(self, head: bytes, chunks: list[bytes] | None = None) -> None:
+        """Write a complete response, then close the connection or keep it for the next request."""
         self._request = None
         transport = self._transport
         if transport is None or self._lingering or transport.is_closing():
-            return  # gone, or it has had its one answer
-        closes = self._closes()
-        end = b"Connection: close\r\n\r\n" if closes else b"\r\n"
+            return  # the connection is closing, or its request was already answered
+        close = self._should_close()
+        end = b"Connection: close\r\n\r\n" if close else b"\r\n"
         transport.write(b"".join((head, end, *chunks)) if chunks else head + end)
-        self._answered(closes)
+        self._finish_response(close)
 
-    def _answered(self, closes: bool) -> None:
-        if closes:
-            self._end()
+    def _finish_response(self, close: bool) -> None:
+        if close:
+            self._close_gracefully()
         else:
-            self._since = self._server.sweeps
+            self._since_sweep = self._server.sweep_count
             self._server.idle[self] = None
 
     def close_on_error(self, where: str, error: BaseException) -> None:
-        """An exception in a callback: its client is told of a failure, and the connection ends."""
+        """Log an unexpected exception in a callback, answer the client with 500, and close."""
         self._server.node.record_error(where, error)
         if self._transport is not None:
             try:
                 self._reject(500, where)
             except Exception as err:
-                self._server.node.record_error("a rejection", err)
+                self._server.node.record_error("rejecting a request", err)
                 self._transport.abort()
 
-    def _reject(self, status: int, why: object = "") -> None:
-        """Answer what can't be read as a request, and close."""
-        self._server.turned_away(status, why)
-        self._drop_incoming()
+    def _reject(self, status: int, reason: object = "") -> None:
+        """Answer a request that the node does not serve, and close the connection."""
+        self._server.record_rejection(status, reason)
+        self._discard_incoming()
         self._parser = None
         if self._source is not None:
-            # In the middle of an answer nothing else can be told, and no more of it is taken.
+            # A status line can't be sent in the middle of another response's body.
             assert self._transport is not None
             self._transport.abort()
             return
-        # A request open before it gets this answer too, and no other.
+        # A request that is still under way gets this response too, and no other.
         request, self._request = self._request, None
         transport = self._transport
         if transport is not None and not transport.is_closing():
             transport.write(EMPTY_RESPONSE_HEADS[status] + b"Connection: close\r\n\r\n")
-            self._end()
+            self._close_gracefully()
         if request is not None:
             self._server.node.client_gone(request)
 
-    def _end(self) -> None:
-        """Close once the client has: closing on unread bytes would reset the connection,
-        and the reset could reach the client before the answer does."""
+    def _close_gracefully(self) -> None:
+        """Close the connection once the client has closed its side (lingering close).
+
+        A close while received bytes are unread would reset the connection, and the reset could
+        reach the client before the response does.
+        """
         transport = self._transport
         assert transport is not None
-        self._server.rests_no_more(self)
-        self._drop_incoming()
+        self._server.remove_evictable(self)
+        self._discard_incoming()
         self._parser = None
-        if self._eof:
+        if self._half_closed:
             transport.close()
             return
         self._lingering = True
         self._server.lingering[self] = None
-        self._since = self._server.sweeps
+        self._since_sweep = self._server.sweep_count
         transport.write_eof()
 
-    def _drop_incoming(self) -> None:
-        for incoming in (self._incoming, self._whole):
+    def _discard_incoming(self) -> None:
+        """Drop requests that were not started, and release the memory of their bodies."""
+        for incoming in (self._incoming, self._complete_request):
             if incoming is not None:
                 self._server.node.budget.release(incoming.reserved_bytes)
-        self._incoming = self._whole = None
+        self._incoming = self._complete_request = None
 
-    # ---- ends ---------------------------------------------------------
+    # ---- closing ------------------------------------------------------
 
     def eof_received(self) -> bool:
-        # A client that has ended its sending may still wait for its answer, and one that
-        # has closed reads none. They look alike: nothing new is begun for either, and both
-        # get an answer.
-        self._eof = True
+        # A client that has ended its sending may still wait for its response, and one that has
+        # closed the connection reads none. The node can't tell them apart: no new attempt is
+        # started for either, and both get a response.
+        self._half_closed = True
         if self._request is not None:
             self._server.node.client_half_closed(self._request)
         return self._request is not None
 
     @closes_connection_on_error
     def connection_lost(self, exc: Exception | None) -> None:
-        if not self.counted:
+        if not self.is_counted:
             return
-        self.counted = False
+        self.is_counted = False
         server = self._server
         self._transport = None
         self._parser = None
         try:
             server.connections.discard(self)
-            server.rests_no_more(self)
-            self._drop_incoming()
+            server.remove_evictable(self)
+            self._discard_incoming()
             request, self._request = self._request, None
             source, self._source = self._source, None
             if request is not None:
@@ -580,8 +627,8 @@
             server.node.client_count -= 1
             server.node.on_descriptor_freed()
 
-    def resting(self) -> bool:
-        """Whether it can be closed without harm: nothing under way either way."""
+    def is_idle(self) -> bool:
+        """Whether a close loses nothing: no request, no response and no unread bytes."""
         transport = self._transport
         if (
             transport is None
@@ -596,96 +643,108 @@
             return True
         except OSError:
             return True
-        return False  # a request lies unread
+        return False  # bytes of a request, or the client's close, are unread
 
-    def rested(self, sweeps: int) -> bool:
-        """Whether it has said nothing for so many sweeps."""
-        return self._server.sweeps - self._since >= sweeps
+    def is_silent_for(self, sweeps: int) -> bool:
+        """Whether this many sweeps have passed since the connection's present phase began."""
+        return self._server.sweep_count - self._since_sweep >= sweeps
 
-    def finished(self) -> bool:
-        """Whether a stop need not wait for it: closed, or its last answer written."""
+    def is_finished(self) -> bool:
+        """Whether a stop need not wait for the connection: closed, or last response written."""
         transport = self._transport
         return transport is None or (
             (self._lingering or transport.is_closing()) and not transport.get_write_buffer_size()
         )
 
     def close(self) -> None:
+        """Close the connection; a lingering one is aborted, since its client has the response."""
         if self._transport is not None:
-            self._server.rests_no_more(self)
+            self._server.remove_evictable(self)
             if self._lingering:
                 self._transport.abort()
             else:
                 self._transport.close()
 
     def sweep(self, sweep: int) -> None:
-        """Give up a client that has stopped sending or taking bytes."""
+        """Close the connection if its client is too slow; `sweep` is the number of this sweep."""
         transport = self._transport
         if transport is None:
             return
-        waiting = transport.get_write_buffer_size()
-        if self._lingering and not waiting and sweep - self._since > LINGER_SWEEPS:
+        buffered = transport.get_write_buffer_size()
+        if self._lingering and not buffered and sweep - self._since_sweep > LINGER_TIMEOUT_SWEEPS:
             transport.abort()
             return
         incoming = self._incoming
-        if incoming is not None and sweep - self._since > REQUEST_SWEEPS:
-            more = max(incoming.body_size - BODY_FREE, 0) // BODY_A_SWEEP
-            if sweep - self._since > REQUEST_SWEEPS + more:
+        if incoming is not None and sweep - self._since_sweep > REQUEST_READ_TIMEOUT_SWEEPS:
+            extra_sweeps = (
+                max(incoming.body_size - BODY_BASE_BYTES, 0) // BODY_BYTES_PER_EXTRA_SWEEP
+            )
+            if sweep - self._since_sweep > REQUEST_READ_TIMEOUT_SWEEPS + extra_sweeps:
                 self._reject(408, "not whole in time")
                 return
-        if not waiting:
-            self._write_since = sweep
+        if not buffered:
+            self._last_write_sweep = sweep
             return
-        queued = QUEUED.unpack(fcntl.ioctl(self._sock, termios.TIOCOUTQ, bytes(4)))[0]
-        if (waiting, queued) != self._progress:
-            self._progress = (waiting, queued)
-            self._write_since = sweep
-        elif sweep - self._write_since > WRITE_SWEEPS:
-            # A reader that takes nothing holds a descriptor and a buffer for good.
+        unacknowledged = SEND_QUEUE_BYTES.unpack(
+            fcntl.ioctl(self._sock, termios.TIOCOUTQ, bytes(4))
+        )[0]
+        if (buffered, unacknowledged) != self._unsent_sizes:
+            self._unsent_sizes = (buffered, unacknowledged)
+            self._last_write_sweep = sweep
+        elif sweep - self._last_write_sweep > WRITE_TIMEOUT_SWEEPS:
+            # A client that reads nothing would hold a descriptor and a buffer indefinitely.
             transport.abort()
 
 
 class Server:
-    """The listening socket and all client connections."""
+    """The listening socket of a node and all its client connections."""
 
     def __init__(self, node: Node) -> None:
         self.node = node
         self.connections: set[ClientConnection] = set()
-        # What can be given up, longest first: those that never asked, that rest between
-        # requests, and that have their last answer.
+        # Connections that may be evicted, each dictionary with the longest wait first. The
+        # first one holds the loop time of connecting.
         self.awaiting_first_request: dict[ClientConnection, float] = {}
         self.idle: dict[ClientConnection, None] = {}
         self.lingering: dict[ClientConnection, None] = {}
-        self.sweeps = 0
-        self.classes_version = 0  # grows with each new numbering of the classes
-        self.stopping = False
-        self.refusing_requests = False  # the process is about to end: nothing more is begun
-        self.evacuated = False  # by an operator's word, until another
-        self._evacuated_since = 0
-        self.handed = False  # a successor takes clients from the same socket
+        self.sweep_count = 0
+        self.classes_version = 0  # incremented by set_classes
+        self.stopping = False  # each response closes its connection
+        self.refusing_requests = False  # the process is about to end: every new request gets 503
+        self.evacuated = False  # from an operator's `evacuate` call to the next `activate`
+        self._evacuated_at_sweep = 0
+        self.handed_over = False  # a successor accepts clients from the same listening socket
         self._accept_paused = False
-        self._retry: asyncio.TimerHandle | None = None
-        self._turned_away = 0
-        self._why = ""
+        self._accept_retry_timer: asyncio.TimerHandle | None = None
+        self._rejected_count = 0
+        self._last_rejection = ""
         self._accept_tasks: set[asyncio.Task[Any]] = set()
         self._listener: socket.socket | None = None
         settings = node.config.settings
         self.set_classes(settings.classes, {c.name: i for i, c in enumerate(settings.classes)})
-        self._tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
-        node.on_descriptor_freed = self.freed
+        self._tenant_numbers = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
+        node.on_descriptor_freed = self.resume_accepting
         node.evict = self.evict
 
     def set_classes(self, classes: Iterable[RequestClass], numbers: Mapping[str, int]) -> None:
-        """What a head is held against: the classes, and the numbers they are told by."""
+        """Set the classes that requests may name.
+
+        `numbers` gives the Balancer's number of each class by the class's name. Requests whose
+        body is still arriving are checked again, see `_revalidate_head`.
+        """
         self.classes_version += 1
         rows = {numbers[c.name]: c for c in classes}
-        self._classes = {c.name.encode(): i for i, c in rows.items()}
-        self._deadlines = {i: c.deadline for i, c in rows.items()}
-        self._methods = {i: b"GET" if c.effect == Effect.PURE else b"POST" for i, c in rows.items()}
+        self._class_numbers = {c.name.encode(): i for i, c in rows.items()}
+        self._class_deadlines_ns = {i: c.deadline for i, c in rows.items()}
+        self._class_methods = {
+            i: b"GET" if c.effect == Effect.PURE else b"POST" for i, c in rows.items()
+        }
 
     def listen(self, address: Address, reuse_port: bool = False) -> int:
-        """Take connections at this address; returns the port.
+        """Listen and accept connections at this address; returns the port.
 
-        With `reuse_port` another process of ours may listen there too, see `handover`.
+        With `reuse_port` another process of this node may listen there too, see `handover`.
+        Raises OSError.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         try:
@@ -693,47 +752,53 @@
             if reuse_port:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             sock.bind(address)
-            sock.listen(BACKLOG)
+            sock.listen(LISTEN_BACKLOG)
         except OSError:
             sock.close()
             raise
         return self.listen_on(sock)
 
     def listen_on(self, sock: socket.socket) -> int:
-        """Take connections from this socket, which listens already; returns the port."""
+        """Accept connections from this socket, which is already listening; returns the port."""
         self._listener = sock
         self.node.loop.add_reader(sock, self._accept)
         return int(sock.getsockname()[1])
 
     @property
     def listener(self) -> socket.socket | None:
+        """The listening socket; None before `listen`, and once a stop has closed the socket."""
         return self._listener
 
     def hand_over(self) -> None:
-        """Take no more clients: a successor does, from the same socket, and none is turned away."""
-        if not self.handed and self._listener is not None:
-            self.handed = True
+        """Stop accepting; a successor accepts from the same socket, so no client is refused."""
+        if not self.handed_over and self._listener is not None:
+            self.handed_over = True
             self.node.loop.remove_reader(self._listener)
 
     def undo_hand_over(self) -> None:
-        """The successor has ended before us."""
-        if self.handed and self._listener is not None:
-            self.handed = False
+        """Accept connections again, because the successor has ended before this process."""
+        if self.handed_over and self._listener is not None:
+            self.handed_over = False
             self._accept_paused = False
             self.node.loop.add_reader(self._listener, self._accept)
 
     def evacuate(self) -> None:
-        """Say no to the front, close what rests, and each connection with its next answer."""
+        """Fail readiness probes, and close client connections.
+
+        Idle connections are closed after EVACUATION_DELAY_SWEEPS, others with their next response.
+        """
         if not self.evacuated:
             self.evacuated = True
-            self._evacuated_since = self.sweeps
+            self._evacuated_at_sweep = self.sweep_count
 
     def activate(self) -> None:
+        """End an evacuation: readiness probes succeed, and connections are kept open."""
         self.evacuated = False
 
     def _accept(self) -> None:
-        for _ in range(ACCEPTS):
-            if self._listener is None or self.handed or not self._room():
+        """Accept queued connections; the event loop calls this when the listener is readable."""
+        for _ in range(MAX_ACCEPTS_PER_TURN):
+            if self._listener is None or self.handed_over or not self._ensure_room():
                 return
             try:
                 sock, _address = self._listener.accept()
@@ -741,218 +806,265 @@
                 return
             except OSError as err:
                 if err.errno in ACCEPT_RETRY_ERRNOS:
-                    continue  # one that waited has gone; those behind it have not
-                # Descriptors are budgeted, but the system may be short of other
-                # things: the accept loop must outlive that.
+                    continue  # this connection is gone; others may be queued behind it
+                # The node budgets its descriptors, but the system may run out of other
+                # resources: accepting must go on after that.
                 self.node.log(f"accept: {err}")
-                self._pause()
+                self._pause_accepting()
                 return
             self.node.client_count += 1
             sock.setblocking(False)
             self._attach_transport(sock, ClientConnection(self, sock))
 
     def _attach_transport(self, sock: socket.socket, conn: ClientConnection) -> None:
-        """Hand an accepted socket over to a transport; see `socket_view` for who owns it when."""
+        """Start a task that gives an accepted socket to a transport.
+
+        The table in `socket_view` says who owns the socket at which time.
+        """
         loop = self.node.loop
         task = loop.create_task(loop.connect_accepted_socket(lambda: conn, sock))
         self._accept_tasks.add(task)
-        task.add_done_callback(lambda task: self._welcomed(task, sock, conn))
+        task.add_done_callback(lambda task: self._check_attached(task, sock, conn))
 
-    def _welcomed(
+    def _check_attached(
         self, task: asyncio.Task[Any], sock: socket.socket, conn: ClientConnection
     ) -> None:
-        """Not within the task: one that is cancelled before its first turn runs none of itself."""
+        """Release the socket and the connection if its transport was not made.
+
+        This runs as a callback of the task and not inside the task: a task that is cancelled
+        before its first turn runs none of its own code.
+        """
         self._accept_tasks.discard(task)
         err = None if task.cancelled() else task.exception()
         if not task.cancelled() and err is None:
             return
-        # Closed here where the loop had not taken it; where it had, nothing is left.
+        # Closes the socket if the loop did not take it. If the loop did, the socket object is
+        # already closed and this has no effect.
         sock.close()
-        conn.connection_lost(None)  # the loop may tell it, and may not
+        conn.connection_lost(None)  # the loop may call this as well; the second call does nothing
         if isinstance(err, OSError):
             self.node.log(f"welcome: {err}")
         elif err is not None:
-            self.node.record_error("a welcome", err)
+            self.node.record_error("attaching a transport", err)
+
+    def _ensure_room(self) -> bool:
+        """Return whether a descriptor is free for one more client.
 
-    def _room(self) -> bool:
-        """Room for one more; else what can best be missed goes, and the next waits its turn."""
+        If none is, pause accepting and close connections. The new client waits in the kernel's
+        queue meanwhile.
+        """
         if self.node.has_room_for_client():
             return True
-        self._pause()
+        self._pause_accepting()
         self.make_room()
         return False
 
     def make_room(self) -> None:
+        """Free descriptors: evict client connections, else close an idle backend connection."""
         if not self.evict():
             self.node.upstream.close_oldest_idle()
 
-    def _pause(self) -> None:
-        if self._listener is not None and not self._accept_paused and not self.handed:
+    def _pause_accepting(self) -> None:
+        """Stop accepting for now; `_retry_accepting` runs at intervals until accepting resumes."""
+        if self._listener is not None and not self._accept_paused and not self.handed_over:
             self._accept_paused = True
             self.node.loop.remove_reader(self._listener)
-            if self._retry is None:
-                self._retry = self.node.loop.call_later(SILENT_S, self._again)
+            if self._accept_retry_timer is None:
+                self._accept_retry_timer = self.node.loop.call_later(
+                    EVICTABLE_SILENCE_S, self._retry_accepting
+                )
+
+    def _retry_accepting(self) -> None:
+        """Free descriptors while accepting is paused, and schedule the next retry.
 
-    def _again(self) -> None:
-        """Nothing may come free by itself while all that wait are behind silent ones."""
-        self._retry = None
+        Without this, connections in the listen queue could wait indefinitely behind silent
+        clients that hold all descriptors.
+        """
+        self._accept_retry_timer = None
         try:
-            self.freed()
-            if self._accept_paused and self._listener is not None and not self.handed:
+            self.resume_accepting()
+            if self._accept_paused and self._listener is not None and not self.handed_over:
                 self.make_room()
         finally:
-            if self._accept_paused and self._listener is not None and not self.handed:
-                self._retry = self.node.loop.call_later(SILENT_S, self._again)
-
-    def freed(self) -> None:
-        """A descriptor has come free: accept again."""
-        if self.handed:
+            if self._accept_paused and self._listener is not None and not self.handed_over:
+                self._accept_retry_timer = self.node.loop.call_later(
+                    EVICTABLE_SILENCE_S, self._retry_accepting
+                )
+
+    def resume_accepting(self) -> None:
+        """Accept again if accepting is paused and a descriptor is free."""
+        if self.handed_over:
             return
         if self._accept_paused and self._listener is not None and self.node.has_room_for_client():
             self._accept_paused = False
             self.node.loop.add_reader(self._listener, self._accept)
 
     def evict(self) -> bool:
-        """Close the connections that can best be missed; False where there are none.
+        """Close up to MAX_EVICTIONS connections without a request; False if there are none.
 
-        Those that have their answer first, then those that connected and said nothing,
-        then those that rest longest. A client that asks slowly over a bad line could be
-        met by it, and connects again.
+        Lingering connections are closed first, then those whose client has sent nothing since it
+        connected, then those idle for the longest time. This may close the connection of a client
+        that sends its first bytes late over a slow line; that client has to connect again.
         """
-        found = 0
-        before = self.node.loop.time() - SILENT_S
-        silent = (conn for conn, since in self.awaiting_first_request.items() if since < before)
-        for conn in list(islice(chain(self.lingering, silent, self.idle), LOOKED_AT)):
-            if conn in self.lingering or conn.resting():
+        closed_count = 0
+        connected_before = self.node.loop.time() - EVICTABLE_SILENCE_S
+        silent = (
+            conn
+            for conn, connected in self.awaiting_first_request.items()
+            if connected < connected_before
+        )
+        for conn in list(islice(chain(self.lingering, silent, self.idle), MAX_EVICTION_CANDIDATES)):
+            if conn in self.lingering or conn.is_idle():
                 conn.close()
-                found += 1
-                if found == EVICTED:
+                closed_count += 1
+                if closed_count == MAX_EVICTIONS:
                     break
-        return found > 0
+        return closed_count > 0
 
-    def rests_no_more(self, conn: ClientConnection) -> None:
+    def remove_evictable(self, conn: ClientConnection) -> None:
+        """Remove a connection from the dictionaries of those that may be evicted."""
         self.awaiting_first_request.pop(conn, None)
         self.idle.pop(conn, None)
         self.lingering.pop(conn, None)
 
-    def turned_away(self, status: int, why: object) -> None:
-        self._turned_away += 1
-        self._why = f"{status} {why}"
+    def record_rejection(self, status: int, reason: object) -> None:
+        """Count a rejected request; the next sweep logs the count and the last reason."""
+        self._rejected_count += 1
+        self._last_rejection = f"{status} {reason}"
 
     def sweep(self) -> None:
-        self.sweeps += 1
-        if self._turned_away:
-            # One line for all of a sweep: some clients come again at once.
-            self.node.log(f"{self._turned_away} clients turned away, the last: {self._why}")
-            self._turned_away = 0
+        """Close connections whose time is over; the owner calls this each SWEEP_INTERVAL_S."""
+        self.sweep_count += 1
+        if self._rejected_count:
+            # One log line per sweep: some clients repeat a rejected request at once.
+            self.node.log(
+                f"{self._rejected_count} clients turned away, the last: {self._last_rejection}"
+            )
+            self._rejected_count = 0
         for conn in list(self.connections):
             try:
-                conn.sweep(self.sweeps)
+                conn.sweep(self.sweep_count)
             except Exception as err:
-                conn.close_on_error("a sweep", err)
-        self.close_rested(self.awaiting_first_request, SILENT_SWEEPS)
-        # Clients that asked once and stay cost memory and a descriptor each, for good.
-        short = 2 * self.node.client_count > self.node.max_connections
-        self.close_rested(self.idle, SHORT_IDLE_SWEEPS if short else IDLE_SWEEPS)
-        if self.evacuated and self.sweeps - self._evacuated_since >= EVACUATE_SWEEPS:
-            self.close_resting()
-
-    def close_resting(self) -> None:
-        """Close all that nothing is under way on, but for those just made: they are about to ask.
-
-        The front goes on sending connections for a moment after it was told no.
+                conn.close_on_error("sweeping a connection", err)
+        self.close_silent(self.awaiting_first_request, FIRST_BYTE_TIMEOUT_SWEEPS)
+        # Clients that send one request and stay connected hold memory and a descriptor each.
+        descriptors_short = 2 * self.node.client_count > self.node.max_connections
+        self.close_silent(
+            self.idle, SHORT_IDLE_TIMEOUT_SWEEPS if descriptors_short else IDLE_TIMEOUT_SWEEPS
+        )
+        if (
+            self.evacuated
+            and self.sweep_count - self._evacuated_at_sweep >= EVACUATION_DELAY_SWEEPS
+        ):
+            self.close_idle()
+
+    def close_idle(self) -> None:
+        """Close all connections without a request, except those made within the last two sweeps.
+
+        The front-end load balancer goes on opening connections for a moment after a readiness
+        probe has failed, and a new connection is about to carry a request.
         """
-        for conn in [*self.idle, *(c for c in self.awaiting_first_request if c.rested(2))]:
-            if conn.resting():
+        for conn in [*self.idle, *(c for c in self.awaiting_first_request if c.is_silent_for(2))]:
+            if conn.is_idle():
                 conn.close()
 
-    def close_rested(self, among: Iterable[ClientConnection], sweeps: int) -> None:
-        for conn in list(among):
-            if not conn.rested(sweeps):
-                break  # so have those behind it
-            if conn.resting():
+    def close_silent(self, connections: Iterable[ClientConnection], sweeps: int) -> None:
+        """Close those of `connections`, oldest first, that have waited for this many sweeps."""
+        for conn in list(connections):
+            if not conn.is_silent_for(sweeps):
+                break  # the following ones have waited for less
+            if conn.is_idle():
                 conn.close()
 
     # ---- stopping -----------------------------------------------------
 
     def stop_accepting(self) -> bool:
-        """Take in what the kernel has accepted for us, then listen no more.
+        """Accept all connections in the kernel's queue, then close the listening socket.
 
-        False where descriptors are too short for that by now: what waits would be reset.
+        Returns False, with the socket still open, if the node has too few descriptors for that
+        now: a close would reset the connections that are still in the queue.
         """
         sock = self._listener
         if sock is None:
             return True
-        if not self.handed:
-            for _ in range(BACKLOG // ACCEPTS):
+        if not self.handed_over:
+            for _ in range(LISTEN_BACKLOG // MAX_ACCEPTS_PER_TURN):
                 self._accept()
             if self._accept_paused:
                 return False
-            self._pause()
+            self._pause_accepting()
         self._listener = None
         sock.close()
         return True
 
     def try_finish(self) -> bool:
-        """Whether a stop can end: nothing is open and nothing lies unread.
+        """Close idle connections; returns whether no connection holds up a stop any more.
 
-        A connection at rest is closed, and only then: a kept one may carry another
-        request until it is, and one just made is about to.
+        A stop has to wait until idle connections are closed: a kept connection may carry another
+        request until then, and a new one is about to carry its first.
         """
-        self.close_resting()
-        return not self._accept_tasks and all(conn.finished() for conn in self.connections)
+        self.close_idle()
+        return not self._accept_tasks and all(conn.is_finished() for conn in self.connections)
 
-    # ---- heads --------------------------------------------------------
+    # ---- request heads ------------------------------------------------
 
     def read_head(self, incoming: IncomingRequest) -> None:
-        """Check a head and fill in what the module wants to know; BadRequest if it is unfit."""
-        fields = incoming.headers
+        """Check a request's head and fill in the fields for the Balancer; raises BadRequest."""
+        headers = incoming.headers
         incoming.classes_version = self.classes_version
         path = incoming.url.partition(b"?")[0]
-        coding = fields.get(b"transfer-encoding")
-        incoming.chunked = coding is not None
-        if coding is not None and (b"content-length" in fields or coding.lower() != b"chunked"):
-            # Where two lengths differ another request may hide in the body. The parser
-            # refuses these too; the rule must not hang on its mode.
-            raise BadRequest(400, "length in doubt")
-        length = fields.get(b"content-length", b"0")
+        encoding = headers.get(b"transfer-encoding")
+        incoming.chunked = encoding is not None
+        if encoding is not None and (
+            b"content-length" in headers or encoding.lower() != b"chunked"
+        ):
+            # Where two body lengths differ, another request may be hidden in the body. The
+            # parser rejects these too; this check does not depend on the parser's mode.
+            raise BadRequest(400, "Transfer-Encoding must be chunked, without Content-Length")
+        length = headers.get(b"content-length", b"0")
         if not length.isdigit() or len(length) > 18:
-            raise BadRequest(400, f"length {length[:20]!r}")
-        incoming.length = int(length)
-        parts = path.split(b"/")
+            raise BadRequest(400, f"Content-Length must be a number: {length[:20]!r}")
+        incoming.content_length = int(length)
+        segments = path.split(b"/")
         if path == b"/health/ready":
             incoming.is_probe = True
-            if incoming.method != b"GET" or incoming.length or incoming.chunked:
+            if incoming.method != b"GET" or incoming.content_length or incoming.chunked:
                 raise BadRequest(400)
             return
         if not incoming.url.isascii() or any(c <= 0x20 or c == 0x7F for c in incoming.url):
-            raise BadRequest(400, "path")
-        cls = self._classes.get(parts[1]) if len(parts) > 1 and not parts[0] else None
-        if cls is None:
+            raise BadRequest(400, "URL with a control, space or non-ASCII character")
+        class_number = (
+            self._class_numbers.get(segments[1]) if len(segments) > 1 and not segments[0] else None
+        )
+        if class_number is None:
             raise BadRequest(404)
-        # The method follows from the class: backends turn away what does not fit.
-        if incoming.method != self._methods[cls]:
+        # The class determines the method: backends reject any other.
+        if incoming.method != self._class_methods[class_number]:
             raise BadRequest(405)
-        if incoming.method == b"GET" and (incoming.length or incoming.chunked):
-            raise BadRequest(400, "GET with a body")
-        if fields.get(b"x-priority-class") != parts[1]:
-            raise BadRequest(400, f"class {fields.get(b'x-priority-class', b'')[:40]!r}")
-        rid = incoming.request_id = fields.get(b"x-request-id", b"")
-        if not rid or len(rid) > MAX_ID or b"host" not in fields:
-            raise BadRequest(400, "no id or no host")
-        if self._tenants:
-            tenant = self._tenants.get(fields.get(b"x-tenant-id", b""))
+        if incoming.method == b"GET" and (incoming.content_length or incoming.chunked):
+            raise BadRequest(400, "GET request with a body")
+        if headers.get(b"x-priority-class") != segments[1]:
+            raise BadRequest(
+                400,
+                "X-Priority-Class does not match the path: "
+                f"{headers.get(b'x-priority-class', b'')[:40]!r}",
+            )
+        request_id = incoming.request_id = headers.get(b"x-request-id", b"")
+        if not request_id or len(request_id) > MAX_REQUEST_ID_BYTES or b"host" not in headers:
+            raise BadRequest(400, "X-Request-ID missing or too long, or Host missing")
+        if self._tenant_numbers:
+            tenant = self._tenant_numbers.get(headers.get(b"x-tenant-id", b""))
             if tenant is None:
-                raise BadRequest(400, "tenant")
+                raise BadRequest(400, "X-Tenant-Id missing or unknown")
             incoming.tenant = tenant
-        timeout = fields.get(b"x-timeout-ms", b"")
+        timeout = headers.get(b"x-timeout-ms", b"")
         if not timeout.isdigit() or len(timeout) > 12 or not int(timeout):
-            raise BadRequest(400, f"timeout {timeout[:20]!r}")
-        incoming.class_number = cls
-        incoming.timeout_ns = min(int(timeout) * MS, self._deadlines[cls])
-        if len(parts) > 2 and parts[-1]:
-            incoming.key = crc32(parts[-1]) or 1
-        cost = fields.get(b"x-cost", b"")
+            raise BadRequest(400, f"X-Timeout-Ms must be a positive number: {timeout[:20]!r}")
+        incoming.class_number = class_number
+        incoming.timeout_ns = min(int(timeout) * NS_PER_MS, self._class_deadlines_ns[class_number])
+        if len(segments) > 2 and segments[-1]:
+            incoming.key = crc32(segments[-1]) or 1
+        cost = headers.get(b"x-cost", b"")
         if cost.isdigit() and len(cost) <= 12:
             incoming.cost_hint = int(cost) * 1000
-        incoming.is_retry = fields.get(b"x-retried") == b"1"
+        incoming.is_retry = headers.get(b"x-retried") == b"1"
