--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -242,7 +242,7 @@
                     raise InjectedError("pause_writing")
 
             transport, _ = await loop.create_connection(Raising, sock=near)
-            transport.write(bytes(8 << 20))  # more than a socket pair holds
+            transport.write(bytes(8 << 20))  # more than the buffers of a socket pair hold
             await raised.wait()
             await asyncio.sleep(0)
             assert transport.is_closing()
--- a/windrelay/server.py
+++ b/windrelay/server.py
@@ -39,12 +39,12 @@
 # stopped for a while must not close connections because of its own absence. A client that does
 # not complete a request must get an error or a close within 3 s of connecting.
 SWEEP_INTERVAL_S = 0.25
-FIRST_BYTE_TIMEOUT_SWEEPS = 8  # from connecting to the first byte of a request
+FIRST_BYTE_TIMEOUT_SWEEPS = 8  # longest wait from connecting to the first byte of a request
 # A head must be complete within this time, counted from connecting or, for a later request, from
 # the request's first byte. A body gets the same time again from the end of its head, and one more
 # sweep for each BODY_BYTES_PER_EXTRA_SWEEP bytes received beyond the first BODY_BASE_BYTES.
 REQUEST_READ_TIMEOUT_SWEEPS = 9
-BODY_BYTES_PER_EXTRA_SWEEP = 8 << 10  # half of what the slowest client line carries
+BODY_BYTES_PER_EXTRA_SWEEP = 8 << 10  # half of what the slowest client line carries in a sweep
 BODY_BASE_BYTES = 32 << 10
 IDLE_TIMEOUT_SWEEPS = 16  # a connection without a request is kept open this long
 SHORT_IDLE_TIMEOUT_SWEEPS = 8  # idle timeout while descriptors are short; 2 s is the least allowed
@@ -59,7 +59,7 @@
 # balancer has seen a readiness probe fail.
 EVACUATION_DELAY_SWEEPS = 2
 WRITE_TIMEOUT_SWEEPS = 12  # a client that takes no byte of its response for this long is cut off
-LINGER_TIMEOUT_SWEEPS = 4  # from the last response to the client's close
+LINGER_TIMEOUT_SWEEPS = 4  # longest wait for the client's close after the last response
 # Bytes read and discarded during a lingering close. After that the node stops reading, and what
 # the client still sends stays in the client's own send buffer.
 MAX_LINGER_BYTES = 64 << 10
