--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -85,7 +85,7 @@
     (ClientConnection, "on_message_complete", (b"500",)),
     (ClientConnection, "_start_request", (b"500",)),
     (ClientConnection, "send_response", (b"500", b"502", b"")),
-    (Node, "request", (b"500",)),
+    (Node, "start_request", (b"500",)),
     (Node, "carry", (b"502",)),
     (Node, "conclude", (b"200", b"502", b"503", b"504", b"")),
     (HttpConnectionPool, "send", (b"502", b"503")),
