--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -97,7 +97,7 @@
     (HttpConnectionPool, "release", (b"200",)),
     (Balancer, "on_request", (b"502",)),
     (Balancer, "on_outcome", (b"200",)),
-    (Balancer, "send", (b"502",)),
+    (Balancer, "start_attempt", (b"502",)),
 ]
 
 DIAL_CALLBACKS = frozenset(("dial", "HttpResponseParser", "on_headers_complete"))
