--- a/flinthatch/__init__.py
+++ b/flinthatch/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of an HTTP load balancer; see README.md for the interface."""
+"""Decisions of an HTTP load balancer, free of I/O; see README.md for the interface."""
 
 from flinthatch.balancer import Balancer
 from flinthatch.interface import (
--- a/flinthatch/settings_reader.py
+++ b/flinthatch/settings_reader.py
@@ -1,7 +1,7 @@
-"""Settings as JSON gives them, read key by key: an error names the place and what is wanted there.
+"""Reads JSON settings key by key, with errors that name the key and the value that is wanted there.
 
-A value of null counts as missing, as in settings that write absent values so. Times are integer
-nanoseconds.
+A value of null counts as missing: some writers of settings write absent values so. Times are
+integer nanoseconds.
 """
 
 from __future__ import annotations
@@ -10,22 +10,26 @@
 from collections.abc import Iterator, Mapping
 from typing import Any, TypeVar
 
-MOST = 1 << 53  # what every number here stays under: a hundred days in nanoseconds
+MAX_NUMBER = 1 << 53  # bound of every number in settings: a hundred days in nanoseconds
 T = TypeVar("T")
 
 
 class InvalidSettingError(ValueError):
-    """A value that can't be used; the text names its place and what is wanted there."""
+    """A setting that can't be used; the text names its key and the value that is wanted there."""
 
 
 def format_value(value: object) -> str:
-    """A value as an error shows it, cut where it is long."""
+    """The value as errors show it, cut to 60 characters."""
     text = repr(value)
     return text if len(text) <= 60 else text[:57] + "..."
 
 
 class SettingsObject:
-    """An object of the settings, and where it stands."""
+    """A JSON object of the settings and its path, such as `settings.classes[1]`.
+
+    Each reader takes a key, and raises InvalidSettingError for a value of another type or outside
+    its bounds, or where the key is missing and has no default.
+    """
 
     __slots__ = ("path", "raw")
 
@@ -41,18 +45,23 @@
         return f"{self.path}.{key}" if self.path else key
 
     def has(self, key: str) -> bool:
+        """Whether the key is there and its value is not null."""
         return self.raw.get(key) is not None
 
     def value(self, key: str) -> Any:
-        """Raises Unusable where there is none."""
+        """The value of a required key, of any type."""
         if not self.has(key):
             raise InvalidSettingError(f"{self.path_of(key)} is missing: it has no default")
         return self.raw[key]
 
     def number(
-        self, key: str, default: float | None = None, minimum: float = 0, maximum: float = MOST
+        self,
+        key: str,
+        default: float | None = None,
+        minimum: float = 0,
+        maximum: float = MAX_NUMBER,
     ) -> float:
-        """A finite number within these bounds; without a default it has to be there."""
+        """A finite number within these bounds; the key is required without a default."""
         if default is not None and not self.has(key):
             return default
         value = self.value(key)
@@ -68,9 +77,9 @@
         return float(value) if isinstance(value, float) else value
 
     def integer(
-        self, key: str, default: int | None = None, minimum: int = 0, maximum: int = MOST
+        self, key: str, default: int | None = None, minimum: int = 0, maximum: int = MAX_NUMBER
     ) -> int:
-        """As `number`, without its fraction."""
+        """A number within these bounds, with its fraction cut off."""
         return int(self.number(key, default, minimum, maximum))
 
     def boolean(self, key: str, default: bool = False) -> bool:
@@ -84,6 +93,7 @@
         return value
 
     def string(self, key: str, default: str | None = None) -> str:
+        """A string that is not empty; the key is required without a default."""
         if default is not None and not self.has(key):
             return default
         value = self.value(key)
@@ -94,42 +104,46 @@
         return value
 
     def choice(self, key: str, choices: Mapping[str, T], default: str | None = None) -> T:
-        word = self.string(key, default)
-        if word not in choices:
+        """The choice that the key's value names; the key is required without a default."""
+        name = self.string(key, default)
+        if name not in choices:
             raise InvalidSettingError(
-                f"{self.path_of(key)} is {format_value(word)}: "
+                f"{self.path_of(key)} is {format_value(name)}: "
                 f"one of {', '.join(choices)} is wanted"
             )
-        return choices[word]
+        return choices[name]
 
     def child(self, key: str, required: bool = False) -> SettingsObject:
-        """The object at this key; an empty one where it may be missing and is."""
+        """The object at this key; an empty one where an optional key is missing."""
         raw = self.value(key) if required or self.has(key) else {}
         return SettingsObject(raw, self.path_of(key))
 
     def strings(self, key: str) -> tuple[str, ...]:
-        """A list of words, or of numbers that are names; none where it is missing."""
+        """A list of strings; numbers that serve as names become strings. Empty where missing."""
         raw = self.raw[key] if self.has(key) else []
-        if not isinstance(raw, list) or not all(isinstance(word, str | int) for word in raw):
+        if not isinstance(raw, list) or not all(isinstance(item, str | int) for item in raw):
             raise InvalidSettingError(
                 f"{self.path_of(key)} is {format_value(raw)}: a list of words is wanted"
             )
-        return tuple(str(word) for word in raw)
+        return tuple(str(item) for item in raw)
 
     def children(self, key: str, required: bool = False) -> Iterator[SettingsObject]:
-        """The objects of a list, whose names differ; none where it may be missing and is."""
+        """The objects of a list; none where an optional key is missing.
+
+        Their names differ; an object without a name is named by its index.
+        """
         raw = self.value(key) if required or self.has(key) else []
         if not isinstance(raw, list):
             raise InvalidSettingError(
                 f"{self.path_of(key)} is {format_value(raw)}: a list of objects is wanted"
             )
-        names: dict[object, str] = {}
-        for i, row in enumerate(raw):
-            place = SettingsObject(row, f"{self.path_of(key)}[{i}]")
-            name = place.string("name", str(i))
-            if name in names:
+        paths_by_name: dict[object, str] = {}
+        for i, item in enumerate(raw):
+            child = SettingsObject(item, f"{self.path_of(key)}[{i}]")
+            name = child.string("name", str(i))
+            if name in paths_by_name:
                 raise InvalidSettingError(
-                    f"{place.path_of('name')} is {format_value(name)}, as in {names[name]}"
+                    f"{child.path_of('name')} is {format_value(name)}, as in {paths_by_name[name]}"
                 )
-            names[name] = place.path
-            yield place
+            paths_by_name[name] = child.path
+            yield child
