--- a/flinthatch/simulator_adapter.py
+++ b/flinthatch/simulator_adapter.py
@@ -1,8 +1,8 @@
-"""The bench's wire: frames in, events to one Balancer per instance, actions out.
+"""Adapter between a simulator and Balancers: frames of events in, replies of actions out.
 
-Nothing is decided here. A frame is decoded, each event is handed to the
-instance it names, and what that instance's Balancer calls for is packed into
-the reply in the order of the calls.
+The module decides nothing. It decodes a frame, passes each event to the Balancer of the instance
+that the event names, and packs the actions of that Balancer into the reply in the order of its
+calls.
 """
 
 from __future__ import annotations
@@ -28,46 +28,54 @@
 )
 from flinthatch.settings_reader import InvalidSettingError, SettingsObject
 
-HEAD = struct.Struct(">IIIQ")
-REPLY = struct.Struct(">III")
-ENTRY = struct.Struct(">HBIBHQf")
-
-EV_TIMER = struct.Struct(">BIQ")
-EV_HELLO = struct.Struct(">BIQI")
-EV_MEMBERS = struct.Struct(">BIBIH")
-EV_STOP = struct.Struct(">BI")
-EV_LEFT = struct.Struct(">BII")
-EV_STARTED = struct.Struct(">BIIHIQ")
-EV_RESOLVED = struct.Struct(">BIIIBHQBB")
-EV_CATALOG = struct.Struct(">BHI")
-EV_ACCEPT = struct.Struct(">BIIHHQQQB")
-EV_PROBED = struct.Struct(">BIIQBB")
-EV_NOTE = struct.Struct(">BIIH")
-
-SUBMIT = struct.Struct(">BIIQI").pack
-TURN_AWAY = struct.Struct(">BIIQ").pack
-DROP = struct.Struct(">BII").pack
-WITHDRAW = struct.Struct(">BIIH").pack
-SCHEDULE = struct.Struct(">BIQQ").pack
-CHECK = struct.Struct(">BII").pack
-TEXT = struct.Struct(">BIH").pack
-WATCH = struct.Struct(">BIB").pack
-PULL = struct.Struct(">BI").pack
-
-HINT_VALID = 1
-CLIENT_RETRY = 2
-
-MANY = 1_000_000  # nodes of one tier, more than there will be
+# Integers and floats are big-endian. A frame is a header (sequence number, record count, body size,
+# time) and its records; a reply is a header (sequence number, record count, body size) and records.
+FRAME_HEADER = struct.Struct(">IIIQ")
+REPLY_HEADER = struct.Struct(">III")
+LIST_ENTRY = struct.Struct(">HBIBHQf")
+
+# Events: the first byte tells the kind, see SimulatorAdapter.handlers.
+TIMER_EVENT = struct.Struct(">BIQ")
+START_EVENT = struct.Struct(">BIQI")
+LIST_UPDATE_EVENT = struct.Struct(">BIBIH")
+STOP_EVENT = struct.Struct(">BI")
+CLIENT_GONE_EVENT = struct.Struct(">BII")
+RESPONSE_STARTED_EVENT = struct.Struct(">BIIHIQ")
+OUTCOME_EVENT = struct.Struct(">BIIIBHQBB")
+LIST_EVENT = struct.Struct(">BHI")
+REQUEST_EVENT = struct.Struct(">BIIHHQQQB")
+PROBE_EVENT = struct.Struct(">BIIQBB")
+NOTE_EVENT = struct.Struct(">BIIH")
+
+# Actions, packed by InstanceActions; the first byte tells the kind.
+PACK_SEND = struct.Struct(">BIIQI").pack
+PACK_REFUSE = struct.Struct(">BIIQ").pack
+PACK_FAIL = struct.Struct(">BII").pack
+PACK_CANCEL = struct.Struct(">BIIH").pack
+PACK_SET_TIMER = struct.Struct(">BIQQ").pack
+PACK_PROBE = struct.Struct(">BII").pack
+PACK_TEXT_HEADER = struct.Struct(">BIH").pack
+PACK_WATCH = struct.Struct(">BIB").pack
+PACK_FETCH = struct.Struct(">BI").pack
+
+# Flags of a request event.
+COST_HINT_FLAG = 1  # the cost hint is valid
+CLIENT_RETRY_FLAG = 2  # the client says that it sends the request again
+
+MAX_BALANCER_COUNT = 1_000_000  # more than a fleet will ever have
 EFFECTS = {"pure": Effect.PURE, "token": Effect.TOKEN, "side_effect": Effect.SIDE_EFFECT}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
 
 
 class ProtocolError(Exception):
-    """The input is not what the wire describes; the text says where."""
+    """Input that violates the protocol, or settings that can't be used; the text says where."""
 
 
 def settings_from_json(text: bytes) -> Settings:
-    """Turn the wire's settings object into Settings; unknown keys are skipped."""
+    """Read Settings from the JSON text of a start event; unknown keys are ignored.
+
+    Raises ProtocolError where a setting can't be used.
+    """
     try:
         raw = json.loads(text)
     except ValueError as err:
@@ -75,15 +83,15 @@
     if not isinstance(raw, dict):
         raise ProtocolError("settings are not a JSON object")
     try:
-        return _settings(SettingsObject(raw, "settings"))
+        return _read_settings(SettingsObject(raw, "settings"))
     except ValueError as err:
         raise ProtocolError(str(err)) from None
 
 
-def _settings(raw: SettingsObject) -> Settings:
+def _read_settings(raw: SettingsObject) -> Settings:
     rules, limits = raw.child("rules", required=True), raw.child("limits")
     goal, prices = raw.child("goal"), raw.child("prices")
-    balancers = raw.integer("balancers", minimum=1, maximum=MANY)
+    balancers = raw.integer("balancers", minimum=1, maximum=MAX_BALANCER_COUNT)
     classes = tuple(
         RequestClass(
             name=c.string("name", str(i)),
@@ -145,215 +153,228 @@
 
 
 class InstanceActions:
-    """Actions of one instance: packs each call into the reply being built."""
+    """Actions of one instance's Balancer, each packed as a record of the reply being built."""
 
-    __slots__ = ("balancer", "me", "out")
+    __slots__ = ("balancer", "instance", "records")
 
-    def __init__(self, me: int, out: list[bytes]) -> None:
-        self.me = me
-        self.out = out
+    def __init__(self, instance: int, records: list[bytes]) -> None:
+        self.instance = instance
+        self.records = records
         self.balancer: Balancer | None = None
 
     def send(self, request: int, backend: int, timeout: int) -> None:
-        self.out.append(SUBMIT(16, self.me, request, timeout, backend))
+        self.records.append(PACK_SEND(16, self.instance, request, timeout, backend))
 
     def refuse(self, request: int, retry_after: int) -> None:
-        self.out.append(TURN_AWAY(17, self.me, request, retry_after))
+        self.records.append(PACK_REFUSE(17, self.instance, request, retry_after))
 
     def fail(self, request: int) -> None:
-        self.out.append(DROP(18, self.me, request))
+        self.records.append(PACK_FAIL(18, self.instance, request))
 
     def cancel(self, request: int, attempt: int) -> None:
-        self.out.append(WITHDRAW(19, self.me, request, attempt))
+        self.records.append(PACK_CANCEL(19, self.instance, request, attempt))
 
     def set_timer(self, token: int, due: int) -> None:
-        self.out.append(SCHEDULE(20, self.me, token, due))
+        self.records.append(PACK_SET_TIMER(20, self.instance, token, due))
 
     def probe(self, backend: int) -> None:
-        self.out.append(CHECK(21, self.me, backend))
+        self.records.append(PACK_PROBE(21, self.instance, backend))
 
     def watch(self) -> None:
-        self.out.append(WATCH(26, self.me, 1))
+        self.records.append(PACK_WATCH(26, self.instance, 1))
 
     def fetch(self) -> None:
-        self.out.append(PULL(27, self.me))
+        self.records.append(PACK_FETCH(27, self.instance))
 
     def log(self, text: str) -> None:
         data = text.encode()[:500]
-        self.out.append(TEXT(24, self.me, len(data)) + data)
+        self.records.append(PACK_TEXT_HEADER(24, self.instance, len(data)) + data)
 
-    def fault(self, text: str) -> None:
+    def report_fault(self, text: str) -> None:
+        """Report an exception of the balancer."""
         data = text.encode()[:500]
-        self.out.append(TEXT(25, self.me, len(data)) + data)
+        self.records.append(PACK_TEXT_HEADER(25, self.instance, len(data)) + data)
 
 
 class SimulatorAdapter:
-    """All instances of one process, and the numbered lists they point at."""
+    """All instances of one process, and the numbered backend lists that their events refer to."""
 
     def __init__(self) -> None:
-        self.nodes: dict[int, InstanceActions] = {}
+        self.instances: dict[int, InstanceActions] = {}
         self.lists: dict[int, tuple[Listing, ...]] = {}
-        self.out: list[bytes] = []
-        self.readers: dict[int, Callable[[int, bytes, int], int]] = {
-            16: self.timer,
-            17: self.hello,
-            18: self.members,
-            19: self.stop,
-            20: self.left,
-            21: self.started,
-            22: self.resolved,
-            23: self.catalog,
-            24: self.accept,
-            25: self.probed,
-            26: self.note,
+        self.records: list[bytes] = []
+        self.handlers: dict[int, Callable[[int, bytes, int], int]] = {
+            16: self.handle_timer,
+            17: self.handle_start,
+            18: self.handle_list_update,
+            19: self.handle_stop,
+            20: self.handle_client_gone,
+            21: self.handle_response_started,
+            22: self.handle_outcome,
+            23: self.handle_list,
+            24: self.handle_request,
+            25: self.handle_probe,
+            26: self.handle_note,
         }
 
-    def batch(self, now: int, count: int, body: bytes) -> tuple[int, bytes]:
-        """Handle one frame's records; returns the reply's record count and body."""
-        self.out.clear()
-        at = 0
-        readers = self.readers
+    def handle_frame(self, now: int, count: int, body: bytes) -> tuple[int, bytes]:
+        """Handle a frame's records; returns the number of records in the reply, and its body."""
+        self.records.clear()
+        offset = 0
+        handlers = self.handlers
         try:
             for _ in range(count):
-                reader = readers.get(body[at])
-                if reader is None:
-                    raise ProtocolError(f"unknown event code {body[at]}")
-                at = reader(now, body, at)
+                handler = handlers.get(body[offset])
+                if handler is None:
+                    raise ProtocolError(f"unknown event code {body[offset]}")
+                offset = handler(now, body, offset)
         except (struct.error, IndexError):
-            raise ProtocolError("a record is cut short") from None
-        if at != len(body):
-            raise ProtocolError(f"{len(body) - at} bytes are left after the last record")
-        return len(self.out), b"".join(self.out)
-
-    def timer(self, now: int, body: bytes, at: int) -> int:
-        _, inst, token = EV_TIMER.unpack_from(body, at)
-        self.call(inst, "on_timer", now, token)
-        return at + 13
-
-    def hello(self, now: int, body: bytes, at: int) -> int:
-        _, inst, seed, size = EV_HELLO.unpack_from(body, at)
-        end: int = at + 17 + size
+            raise ProtocolError("a record is truncated") from None
+        if offset != len(body):
+            raise ProtocolError(f"{len(body) - offset} bytes follow the last record of a frame")
+        return len(self.records), b"".join(self.records)
+
+    def handle_timer(self, now: int, body: bytes, offset: int) -> int:
+        _, instance, token = TIMER_EVENT.unpack_from(body, offset)
+        self.notify_balancer(instance, "on_timer", now, token)
+        return offset + 13
+
+    def handle_start(self, now: int, body: bytes, offset: int) -> int:
+        """Start an instance; one of the same number is replaced and its state is dropped."""
+        _, instance, seed, size = START_EVENT.unpack_from(body, offset)
+        end: int = offset + 17 + size
         if end > len(body):
-            raise ProtocolError("the settings are cut short")
-        settings = settings_from_json(body[at + 17 : end])
-        node = InstanceActions(inst, self.out)
-        self.nodes[inst] = node
+            raise ProtocolError("the settings of a start event are truncated")
+        settings = settings_from_json(body[offset + 17 : end])
+        actions = InstanceActions(instance, self.records)
+        self.instances[instance] = actions
         try:
-            node.balancer = Balancer(settings, seed, node)
-            node.balancer.start(now)
+            actions.balancer = Balancer(settings, seed, actions)
+            actions.balancer.start(now)
         except Exception as err:
-            self.broken(inst, err)
+            self.report_exception(instance, err)
         return end
 
-    def members(self, now: int, body: bytes, at: int) -> int:
-        _, inst, mode, version, number = EV_MEMBERS.unpack_from(body, at)
+    def handle_list_update(self, now: int, body: bytes, offset: int) -> int:
+        """Pass a backend list, which an earlier list event defined, to an instance."""
+        _, instance, mode, version, number = LIST_UPDATE_EVENT.unpack_from(body, offset)
         if mode > 3:
             raise ProtocolError(f"unknown list mode {mode}")
         entries: tuple[Listing, ...] = ()
         if mode != Update.FAILED:
             if number not in self.lists:
-                raise ProtocolError(f"list {number} was never given")
+                raise ProtocolError(f"list {number} was never defined")
             entries = self.lists[number]
-        self.call(inst, "on_backend_list", now, Update(mode), entries)
-        return at + 12
-
-    def stop(self, now: int, body: bytes, at: int) -> int:
-        _, inst = EV_STOP.unpack_from(body, at)
-        self.nodes.pop(inst, None)
-        return at + 5
-
-    def left(self, now: int, body: bytes, at: int) -> int:
-        _, inst, request = EV_LEFT.unpack_from(body, at)
-        self.call(inst, "on_client_gone", now, request)
-        return at + 9
-
-    def started(self, now: int, body: bytes, at: int) -> int:
-        _, inst, request, attempt, _backend, taken = EV_STARTED.unpack_from(body, at)
-        self.call(inst, "on_response_started", now, request, attempt, taken)
-        return at + 23
-
-    def resolved(self, now: int, body: bytes, at: int) -> int:
-        _, inst, request, _backend, done, attempt, taken, code, n = EV_RESOLVED.unpack_from(
-            body, at
+        self.notify_balancer(instance, "on_backend_list", now, Update(mode), entries)
+        return offset + 12
+
+    def handle_stop(self, now: int, body: bytes, offset: int) -> int:
+        _, instance = STOP_EVENT.unpack_from(body, offset)
+        self.instances.pop(instance, None)
+        return offset + 5
+
+    def handle_client_gone(self, now: int, body: bytes, offset: int) -> int:
+        _, instance, request = CLIENT_GONE_EVENT.unpack_from(body, offset)
+        self.notify_balancer(instance, "on_client_gone", now, request)
+        return offset + 9
+
+    def handle_response_started(self, now: int, body: bytes, offset: int) -> int:
+        _, instance, request, attempt, _backend, duration = RESPONSE_STARTED_EVENT.unpack_from(
+            body, offset
+        )
+        self.notify_balancer(instance, "on_response_started", now, request, attempt, duration)
+        return offset + 23
+
+    def handle_outcome(self, now: int, body: bytes, offset: int) -> int:
+        _, instance, request, _backend, answered, attempt, duration, code, n = (
+            OUTCOME_EVENT.unpack_from(body, offset)
         )
         if not 1 <= code <= 8:
             raise ProtocolError(f"unknown outcome {code}")
-        load = struct.unpack_from(f">{n}f", body, at + 26) if n else ()
-        node = self.nodes.get(inst)
-        if node is not None and node.balancer is not None:
+        load = struct.unpack_from(f">{n}f", body, offset + 26) if n else ()
+        actions = self.instances.get(instance)
+        if actions is not None and actions.balancer is not None:
             try:
-                node.balancer.on_outcome(now, request, attempt, code, taken, done != 0, load)
+                actions.balancer.on_outcome(
+                    now, request, attempt, code, duration, answered != 0, load
+                )
             except Exception as err:
-                self.broken(inst, err)
-        return at + 26 + 4 * int(n)
+                self.report_exception(instance, err)
+        return offset + 26 + 4 * int(n)
 
-    def catalog(self, now: int, body: bytes, at: int) -> int:
-        _, number, n = EV_CATALOG.unpack_from(body, at)
-        end: int = at + 7 + ENTRY.size * n
+    def handle_list(self, now: int, body: bytes, offset: int) -> int:
+        """Define a numbered backend list for the list updates of all instances."""
+        _, number, n = LIST_EVENT.unpack_from(body, offset)
+        end: int = offset + 7 + LIST_ENTRY.size * n
         if end > len(body):
-            raise ProtocolError("a list is cut short")
+            raise ProtocolError("a backend list is truncated")
         entries = []
-        for cell, zone, backend, state, kind, boot, rating in ENTRY.iter_unpack(body[at + 7 : end]):
+        for cell, zone, backend, state, kind, boot, rating in LIST_ENTRY.iter_unpack(
+            body[offset + 7 : end]
+        ):
             if state > 2:
                 raise ProtocolError(f"unknown backend state {state}")
             entries.append(Listing(backend, State(state), zone, cell, kind, boot, rating))
         self.lists[number] = tuple(entries)
         return end
 
-    def accept(self, now: int, body: bytes, at: int) -> int:
-        _, inst, request, cls, tenant, key, left, hint, flags = EV_ACCEPT.unpack_from(body, at)
-        node = self.nodes.get(inst)
-        if node is not None and node.balancer is not None:
+    def handle_request(self, now: int, body: bytes, offset: int) -> int:
+        _, instance, request, class_number, tenant, key, time_left, hint, flags = (
+            REQUEST_EVENT.unpack_from(body, offset)
+        )
+        actions = self.instances.get(instance)
+        if actions is not None and actions.balancer is not None:
             try:
-                node.balancer.on_request(
+                actions.balancer.on_request(
                     now,
                     request,
-                    cls,
-                    left,
+                    class_number,
+                    time_left,
                     tenant,
                     key,
-                    hint if flags & HINT_VALID else 0,
-                    flags & CLIENT_RETRY != 0,
+                    hint if flags & COST_HINT_FLAG else 0,
+                    flags & CLIENT_RETRY_FLAG != 0,
                 )
             except Exception as err:
-                self.broken(inst, err)
-        return at + 38
+                self.report_exception(instance, err)
+        return offset + 38
 
-    def probed(self, now: int, body: bytes, at: int) -> int:
-        _, inst, backend, taken, code, n = EV_PROBED.unpack_from(body, at)
+    def handle_probe(self, now: int, body: bytes, offset: int) -> int:
+        _, instance, backend, duration, code, n = PROBE_EVENT.unpack_from(body, offset)
         if not 1 <= code <= 8:
             raise ProtocolError(f"unknown outcome {code}")
-        load = struct.unpack_from(f">{n}f", body, at + 19)
-        self.call(inst, "on_probe", now, backend, code, taken, load)
-        return at + 19 + 4 * int(n)
-
-    def note(self, now: int, body: bytes, at: int) -> int:
-        _, _inst, _peer, size = EV_NOTE.unpack_from(body, at)
-        if at + 11 + size > len(body):
-            raise ProtocolError("a note is cut short")
-        return at + 11 + int(size)
-
-    def call(self, inst: int, method: str, now: int, *args: Any) -> None:
-        """Hand one event to its instance; one it does not have is skipped."""
-        node = self.nodes.get(inst)
-        if node is None or node.balancer is None:
+        load = struct.unpack_from(f">{n}f", body, offset + 19)
+        self.notify_balancer(instance, "on_probe", now, backend, code, duration, load)
+        return offset + 19 + 4 * int(n)
+
+    def handle_note(self, now: int, body: bytes, offset: int) -> int:
+        """Skip a note of another instance: Balancers send none and need none."""
+        _, _instance, _peer, size = NOTE_EVENT.unpack_from(body, offset)
+        if offset + 11 + size > len(body):
+            raise ProtocolError("a note is truncated")
+        return offset + 11 + int(size)
+
+    def notify_balancer(self, instance: int, method: str, now: int, *args: Any) -> None:
+        """Call a method of an instance's balancer; an unknown instance is ignored."""
+        actions = self.instances.get(instance)
+        if actions is None or actions.balancer is None:
             return
         try:
-            getattr(node.balancer, method)(now, *args)
+            getattr(actions.balancer, method)(now, *args)
         except Exception as err:
-            self.broken(inst, err)
+            self.report_exception(instance, err)
 
-    def broken(self, inst: int, err: Exception) -> None:
-        """A decision raised: say so on the wire for that instance alone."""
+    def report_exception(self, instance: int, err: Exception) -> None:
+        """Report an exception of a balancer with its line; the other instances continue."""
         trace = err.__traceback__
         while trace is not None and trace.tb_next is not None:
             trace = trace.tb_next
         where = f" at line {trace.tb_lineno}" if trace is not None else ""
-        self.nodes[inst].fault(f"{type(err).__name__}: {err}{where}")
+        self.instances[instance].report_fault(f"{type(err).__name__}: {err}{where}")
 
 
 def read_exactly(stream: BinaryIO, size: int) -> bytes:
-    """Read size bytes, or fewer where the input ends."""
+    """Read `size` bytes, or fewer where the input ends."""
     data = stream.read(size)
     while len(data) < size:
         more = stream.read(size - len(data))
@@ -364,24 +385,25 @@
 
 
 def serve(stdin: BinaryIO, stdout: BinaryIO) -> None:
-    """Answer frames until the input ends; WireError on anything malformed."""
-    drill = SimulatorAdapter()
+    """Answer frames until the input ends; raises ProtocolError on malformed input."""
+    adapter = SimulatorAdapter()
     while True:
-        head = read_exactly(stdin, HEAD.size)
-        if not head:
+        header = read_exactly(stdin, FRAME_HEADER.size)
+        if not header:
             return
-        if len(head) < HEAD.size:
-            raise ProtocolError("a frame's header is cut short")
-        seq, count, size, now = HEAD.unpack(head)
+        if len(header) < FRAME_HEADER.size:
+            raise ProtocolError("a frame's header is truncated")
+        seq, count, size, now = FRAME_HEADER.unpack(header)
         body = read_exactly(stdin, size)
         if len(body) < size:
-            raise ProtocolError("a frame is cut short")
-        n, reply = drill.batch(now, count, body)
-        stdout.write(REPLY.pack(seq, n, len(reply)) + reply)
+            raise ProtocolError("a frame's body is truncated")
+        n, reply = adapter.handle_frame(now, count, body)
+        stdout.write(REPLY_HEADER.pack(seq, n, len(reply)) + reply)
         stdout.flush()
 
 
 def main() -> int:
+    """Serve standard input; 2 for malformed input, 1 where the simulator closed the output."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except ProtocolError as err:
