--- a/flinthatch/balancer.py
+++ b/flinthatch/balancer.py
@@ -155,9 +155,9 @@
         self.id = row.backend
         self.zone = row.zone
         self.cell = row.cell
-        self.hardware_kind = row.kind
-        self.started_at = row.boot
-        self.weight = row.rating if row.rating > 0 else 1.0
+        self.hardware_kind = row.hardware_kind
+        self.started_at = row.started_at
+        self.weight = row.weight if row.weight > 0 else 1.0
         self.state = row.state
         self.listed_state = row.state  # the list's word; a ban may go before it
         self.is_local = local
@@ -462,19 +462,19 @@
             backend = Backend(row, row.zone == self.settings.zone)
             self.backends[row.backend] = backend
             self.set_state(backend, row.state)
-            if row.boot and now - row.boot < self.settings.slow_start:
-                backend.slow_start_until = row.boot + self.settings.slow_start
+            if row.started_at and now - row.started_at < self.settings.slow_start:
+                backend.slow_start_until = row.started_at + self.settings.slow_start
         else:
-            if row.state != State.GONE and row.boot and row.boot != backend.started_at:
-                backend.started_at = row.boot
+            if row.state != State.GONE and row.started_at and row.started_at != backend.started_at:
+                backend.started_at = row.started_at
                 backend.slow_start_until = max(
-                    backend.slow_start_until, row.boot + self.settings.slow_start
+                    backend.slow_start_until, row.started_at + self.settings.slow_start
                 )
                 if backend.ejected_until:
                     self.end_ejection(backend)
             self.set_state(backend, row.state)
             if row.state != State.GONE:
-                backend.weight = row.rating if row.rating > 0 else 1.0
+                backend.weight = row.weight if row.weight > 0 else 1.0
         self.update_bucket(backend)
 
     def ban(self, now: int, backend: int) -> None:
--- a/flinthatch/interface.py
+++ b/flinthatch/interface.py
@@ -62,17 +62,17 @@
 class Listing(NamedTuple):
     """One row of the backend list.
 
-    `kind` numbers the backend's hardware kind. `boot` is the start of the backend's process, 0
-    where it is unknown. `rating` is the backend's capacity relative to the others.
+    `hardware_kind` is a number for the backend's hardware. `started_at` is the start of the
+    backend's process, 0 where it is unknown. `weight` is its capacity relative to other backends.
     """
 
     backend: int
     state: State
     zone: int = 0
     cell: int = 0
-    kind: int = 0
-    boot: int = 0
-    rating: float = 1.0
+    hardware_kind: int = 0
+    started_at: int = 0
+    weight: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -133,7 +133,7 @@
     tick: int = MS  # resolution of the host's timers
     worst_class_weight: float = 0.0
     cross_zone_price: float = 0.0
-    weighted: bool = False  # whether the ratings of backends differ
+    weighted: bool = False  # whether the weights of backends differ
 
     def __post_init__(self) -> None:
         if not self.classes:
--- a/flinthatch/simulator_adapter.py
+++ b/flinthatch/simulator_adapter.py
@@ -309,12 +309,14 @@
         if end > len(body):
             raise ProtocolError("a backend list is truncated")
         entries = []
-        for cell, zone, backend, state, kind, boot, rating in LIST_ENTRY.iter_unpack(
+        for cell, zone, backend, state, hardware_kind, started_at, weight in LIST_ENTRY.iter_unpack(
             body[offset + 7 : end]
         ):
             if state > 2:
                 raise ProtocolError(f"unknown backend state {state}")
-            entries.append(Listing(backend, State(state), zone, cell, kind, boot, rating))
+            entries.append(
+                Listing(backend, State(state), zone, cell, hardware_kind, started_at, weight)
+            )
         self.lists[number] = tuple(entries)
         return end
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -57,7 +57,9 @@
     balancer.ban(0, 100)  # calls out may be repeated
     if update != Update.FAILED:
         boot = 1 * SECOND  # even a start that is told anew
-        balancer.on_backend_list(SECOND, update, [r._replace(boot=boot) for r in ready_listings(3)])
+        balancer.on_backend_list(
+            SECOND, update, [r._replace(started_at=boot) for r in ready_listings(3)]
+        )
     ask(balancer, 2 * SECOND, 20)
     assert 100 not in sends(host) and sends(host)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -137,11 +137,11 @@
     _, again, _, _ = lists.parse(raw)
     assert rows == again
     assert rows[0].backend == backend_id("s-1") == 0x3231059C9D4DE0D
-    age = time.monotonic_ns() - rows[0].boot
+    age = time.monotonic_ns() - rows[0].started_at
     assert 3_000_000_000 <= age < 60_000_000_000
-    assert rows[1].boot == 0
+    assert rows[1].started_at == 0
     _, later, _, _ = lists.parse(roster(target("s-1", 1, boot_ms=boot_ms + 1_000)))
-    assert later[0].boot != rows[0].boot
+    assert later[0].started_at != rows[0].started_at
 
 
 def test_a_list_changes_nothing_until_it_is_applied(tmp_path: Path) -> None:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -291,7 +291,7 @@
 
 def test_a_cold_backends_slots_grow_as_it_warms() -> None:
     """A zone just restarted is not held to two slots a backend until all is over."""
-    start = Listing(100, State.READY, boot=20 * SECOND)
+    start = Listing(100, State.READY, started_at=20 * SECOND)
     settings = Settings(classes=(PURE,), slow_start=10 * SECOND, slow_start_fraction=0.2)
     balancer, _ = build_balancer(settings, count=1)
     balancer.concurrency_limit = 20.0
@@ -306,7 +306,7 @@
     cold = [Listing(100 + i, State.READY) for i in range(3)]
     balancer, host = build_balancer(Settings(classes=(PURE,), slow_start=10 * SECOND), count=3)
     now = 20 * SECOND
-    balancer.on_backend_list(now, Update.DELTA, [cold[0]._replace(boot=now - 1)])
+    balancer.on_backend_list(now, Update.DELTA, [cold[0]._replace(started_at=now - 1)])
     for i in range(300):
         at = now + i * 5 * MS
         balancer.on_request(at, i, 0, SECOND)
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -52,7 +52,7 @@
     host = RecordingHost()
     balancer = Balancer(Settings(classes=(UNSAFE,), slow_start=8 * SECOND), 2, host)
     balancer.start(RESTARTED_AT)
-    listed = [r._replace(boot=(boots or {}).get(r.backend, 0)) for r in ready_listings(count)]
+    listed = [r._replace(started_at=(boots or {}).get(r.backend, 0)) for r in ready_listings(count)]
     balancer.on_backend_list(RESTARTED_AT, Update.CACHED, listed)
     return balancer, host
 
@@ -109,7 +109,9 @@
     assert (
         not b.ejected_until and b.latency_ratio == 1.0 and b.slow_start_until == boot + 8 * SECOND
     )
-    balancer.on_backend_list(RESTARTED_AT, Update.DELTA, [Listing(999, State.READY, boot=boot)])
+    balancer.on_backend_list(
+        RESTARTED_AT, Update.DELTA, [Listing(999, State.READY, started_at=boot)]
+    )
     assert balancer.backends[999].slow_start_until == boot + 8 * SECOND
 
 
@@ -117,7 +119,9 @@
     """Start times are listed by the wall clock and kept by the process's own monotonic clock."""
     saved, _ = build_balancer(Settings(classes=(UNSAFE,), slow_start=8 * SECOND))
     wall_boot = WALL + 6 * SECOND
-    saved.on_backend_list(9 * SECOND, Update.FULL, [Listing(100, State.READY, boot=6 * SECOND)])
+    saved.on_backend_list(
+        9 * SECOND, Update.FULL, [Listing(100, State.READY, started_at=6 * SECOND)]
+    )
     saved.backends[100].latency_ratio = 3.0
     balancer, _ = restarted_balancer(boots={100: wall_boot - (WALL + 11 * SECOND - RESTARTED_AT)})
     export_and_restore(saved, balancer)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -82,7 +82,8 @@
             balancer.on_backend_list(now, Update.FAILED)
         if step % 20 == 15:
             listed = [
-                r._replace(boot=rng.choice([0, now])) for r in ready_listings(rng.randrange(5))
+                r._replace(started_at=rng.choice([0, now]))
+                for r in ready_listings(rng.randrange(5))
             ]
             balancer.on_backend_list(now, Update.FULL, listed)
 
