--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,7 +1,7 @@
-"""A real node as a process of its own, and hand-driven peers on loopback sockets.
+"""A node as a process of its own, and hand-driven peers on loopback sockets.
 
-Nothing here waits for a length of time: every wait is for bytes, a connection or
-an end, with a limit that only a hang reaches.
+No helper waits for a fixed time: every wait is for bytes, a connection or an end of stream, with a
+time-out that only a hang reaches.
 """
 
 from __future__ import annotations
@@ -28,17 +28,18 @@
 ]  # fmt: skip
 
 ROOT = Path(__file__).resolve().parent.parent
-HANG_TIMEOUT_S = 20.0  # seconds; a hang, not a measure
+HANG_TIMEOUT_S = 20.0  # only a hang takes this long
 
 
 def listen() -> socket.socket:
+    """Listen on a free loopback port."""
     sock = socket.create_server(("127.0.0.1", 0))
     sock.settimeout(HANG_TIMEOUT_S)
     return sock
 
 
 def port(server: socket.socket) -> int:
-    """Where it listens."""
+    """Return the port that a socket listens on."""
     return int(server.getsockname()[1])
 
 
@@ -54,6 +55,7 @@
         self.sock.sendall(data)
 
     def receive(self) -> bool:
+        """Read further bytes into the buffer; returns False at the end of the connection."""
         try:
             data = self.sock.recv(65536)
         except ConnectionError:
@@ -62,7 +64,7 @@
         return bool(data)
 
     def message(self) -> tuple[str, dict[str, str], bytes]:
-        """One whole message with Content-Length: first line, headers, body."""
+        """Read one whole message with Content-Length: first line, headers, body."""
         while b"\r\n\r\n" not in self.buffer:
             if not self.receive():
                 raise EOFError(f"ended after {self.buffer!r}")
@@ -76,12 +78,13 @@
         return first, headers, body
 
     def read_to_end(self) -> bytes:
-        """Everything up to the end of the connection."""
+        """Read up to the end of the connection."""
         while self.receive():
             pass
         return self.buffer
 
     def reset(self) -> None:
+        """Close the connection with a TCP reset."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         self.sock.close()
 
@@ -90,40 +93,44 @@
 
 
 class RunningNode:
-    """A node's process."""
+    """The process of a node that listens."""
 
-    def __init__(self, process: subprocess.Popen[str], port: int, file: Path) -> None:
+    def __init__(self, process: subprocess.Popen[str], port: int, config_path: Path) -> None:
         self.process = process
         self.port = port
-        self.file = file
+        self.config_path = config_path
 
     def reload(self, text: str | None = None, **changes: object) -> None:
-        """Replace the configuration, by other keys or by any text, and send SIGHUP."""
-        raw = json.loads(self.file.read_text()) if text is None else {}
-        self.file.write_text(json.dumps(raw | changes) if text is None else text)
+        """Change keys of the configuration file, or replace its whole text, and send SIGHUP."""
+        raw = json.loads(self.config_path.read_text()) if text is None else {}
+        self.config_path.write_text(json.dumps(raw | changes) if text is None else text)
         self.process.send_signal(signal.SIGHUP)
 
     def connect(self) -> Peer:
         return Peer(socket.create_connection(("127.0.0.1", self.port), HANG_TIMEOUT_S))
 
     def stop(self) -> int:
+        """Send SIGTERM and return the exit status."""
         self.process.send_signal(signal.SIGTERM)
         return self.process.wait(HANG_TIMEOUT_S)
 
     def cpu_ms(self) -> float:
+        """Return the CPU time that the process has used."""
         stat = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(stat[11]) + int(stat[12])) * 1000 / os.sysconf("SC_CLK_TCK")
 
     def descriptors(self) -> int:
+        """Return how many descriptors the process holds."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
-    def resident_mb(self, which: str = "VmRSS") -> float:
-        """What the process holds in memory now, or held at its peak ("VmHWM")."""
+    def resident_mb(self, field: str = "VmRSS") -> float:
+        """Return the resident memory now ("VmRSS"), or at its peak ("VmHWM")."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
-        return int(re.findall(rf"{which}:\s+(\d+)", status)[0]) / 1024
+        return int(re.findall(rf"{field}:\s+(\d+)", status)[0]) / 1024
 
 
 def launch(environ: dict[str, str]) -> subprocess.Popen[str]:
+    """Start a node process with these environment variables in addition to the test's own."""
     return subprocess.Popen(
         [sys.executable, "-B", "-m", "windrelay"],
         cwd=ROOT,
@@ -133,14 +140,16 @@
     )
 
 
-def wait_until_signal_handled(process: subprocess.Popen[str], number: signal.Signals) -> None:
-    """Wait until the program handles this signal: its first act, once Python is up."""
+def wait_until_signal_handled(
+    process: subprocess.Popen[str], signal_number: signal.Signals
+) -> None:
+    """Wait until the node handles this signal, which it does first once Python is up."""
     while True:
         assert process.poll() is None
         text = Path(f"/proc/{process.pid}/status").read_text()
         words = Path(f"/proc/{process.pid}/cmdline").read_bytes()
         mask = int(text.split("SigCgt:")[1].split()[0], 16)
-        if b"windrelay" in words and mask & (1 << (number - 1)):
+        if b"windrelay" in words and mask & (1 << (signal_number - 1)):
             return
 
 
@@ -148,7 +157,7 @@
 def node(
     tmp_path: Path, known: dict[str, object], discovery: int = 1, **over: Any
 ) -> Iterator[RunningNode]:
-    """A node that listens. Port 1 as discovery refuses every call."""
+    """Run a node that listens. The default discovery port, 1, refuses every call."""
     environ = config(tmp_path, known, discovery, **over)
     process = launch(environ)
     try:
@@ -166,12 +175,13 @@
 
 
 def accept(server: socket.socket) -> Peer:
+    """Accept one connection."""
     return Peer(server.accept()[0])
 
 
 def wait_until(condition: Any) -> None:
-    """Wait for something that only the process itself can bring about."""
-    end = time.monotonic() + HANG_TIMEOUT_S
+    """Wait for a condition that only the process under test can bring about."""
+    deadline = time.monotonic() + HANG_TIMEOUT_S
     while not condition():
-        assert time.monotonic() < end, "never came about"
+        assert time.monotonic() < deadline, "the condition did not become true in time"
         time.sleep(0.01)
--- a/tests/inside.py
+++ b/tests/inside.py
@@ -1,4 +1,4 @@
-"""A node inside the test's own process, where a test can force the order of what happens."""
+"""A node inside the test's own process, where a test can force the order of events."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class InProcessNode:
-    """One node on a loop of its own; `run` drives it."""
+    """One node on an event loop of its own; `run` drives the loop."""
 
     def __init__(self, tmp_path: Path, known: dict[str, object], **over: Any) -> None:
         environ = config(tmp_path, known, 1, **over)
@@ -32,13 +32,16 @@
         self.server = Server(self.node)
 
     def run(self, main: Coroutine[Any, Any, Any]) -> Any:
+        """Run a coroutine on the node's loop; fails where it hangs."""
         return self.loop.run_until_complete(asyncio.wait_for(main, HANG_TIMEOUT_S))
 
     async def wait_until(self, condition: Callable[[], object]) -> None:
+        """Let the loop run until the condition holds."""
         while not condition():
             await asyncio.sleep(0.001)
 
     async def run_loop_turns(self, count: int = 10) -> None:
+        """Let the loop run this many iterations."""
         for _ in range(count):
             await asyncio.sleep(0)
 
@@ -47,8 +50,8 @@
 def in_process_node(
     tmp_path: Path, known: dict[str, object], **over: Any
 ) -> Iterator[InProcessNode]:
-    """A started node that listens; its descriptors are back where they were at the end."""
-    uvloop.new_event_loop().close()  # the first makes a pipe that the process keeps
+    """Start a node that listens; at the end, check that every descriptor it opened is closed."""
+    uvloop.new_event_loop().close()  # the first loop opens a pipe that the process keeps
     before = len(os.listdir("/proc/self/fd"))
     one = InProcessNode(tmp_path, known, **over)
     try:
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""The operators' calls: what their address answers, and what a call does to the node."""
+"""Management calls: the answers of the management address, and what each call does to the node."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from flinthatch import Balancer, Listing, Settings, State, Update
 from flinthatch.balancer import TIMER_WAKE
-from windrelay.management import LINE_MOST, MOST, CallError, carry_out
+from windrelay.management import MAX_CALL_BYTES, MAX_CONNECTIONS, CallError, execute_call
 from windrelay.upstream import BackendConnection
 
 from .fakes import MS, PURE, SECOND, UNSAFE, RecordingHost, build_balancer, ready_listings
@@ -32,81 +32,85 @@
 )
 from .inside import in_process_node
 
-# ---- the module ---------------------------------------------------------
+# ---- bans in the Balancer -----------------------------------------------
 
 
-def sends(host: RecordingHost) -> list[object]:
+def sent_backends(host: RecordingHost) -> list[object]:
+    """Return the backends of all sends, in their order."""
     return [call[2] for call in host.calls_named("send")]
 
 
-def built(count: int = 3, cold: int = 8 * SECOND) -> tuple[Balancer, RecordingHost]:
+def balancer_with_backends(
+    count: int = 3, slow_start: int = 8 * SECOND
+) -> tuple[Balancer, RecordingHost]:
     return build_balancer(
-        Settings(classes=(PURE, UNSAFE), max_attempts=4, slow_start=cold), count=count
+        Settings(classes=(PURE, UNSAFE), max_attempts=4, slow_start=slow_start), count=count
     )
 
 
-def ask(balancer: Balancer, now: int, count: int, first: int = 0) -> None:
+def send_requests(balancer: Balancer, now: int, count: int, first: int = 0) -> None:
+    """Hand this many requests to the Balancer."""
     for i in range(first, first + count):
         balancer.on_request(now, i, 0, SECOND)
 
 
 @pytest.mark.parametrize("update", list(Update))
-def test_whatever_the_list_says_a_banned_backend_gets_nothing_new(update: Update) -> None:
-    balancer, host = built()
+def test_a_banned_backend_gets_no_request_whatever_the_list_says(update: Update) -> None:
+    balancer, host = balancer_with_backends()
     balancer.ban(0, 100)
-    balancer.ban(0, 100)  # calls out may be repeated
+    balancer.ban(0, 100)  # an exclude call may be repeated
     if update != Update.FAILED:
-        boot = 1 * SECOND  # even a start that is told anew
+        boot = 1 * SECOND  # a new start time does not end the ban either
         balancer.on_backend_list(
             SECOND, update, [r._replace(started_at=boot) for r in ready_listings(3)]
         )
-    ask(balancer, 2 * SECOND, 20)
-    assert 100 not in sends(host) and sends(host)
+    send_requests(balancer, 2 * SECOND, 20)
+    assert 100 not in sent_backends(host) and sent_backends(host)
 
 
-def test_a_ban_outlives_the_backend_and_binds_the_one_that_comes_back_under_its_id() -> None:
-    balancer, host = built()
+def test_a_ban_outlives_the_backend_and_applies_when_its_id_comes_back() -> None:
+    balancer, host = balancer_with_backends()
     balancer.ban(0, 100)
     balancer.on_backend_list(0, Update.DELTA, [Listing(100, State.GONE)])
     assert 100 not in balancer.backends
     balancer.on_backend_list(SECOND, Update.DELTA, [Listing(100, State.READY)])
-    ask(balancer, SECOND, 20)
-    assert 100 not in sends(host)
+    send_requests(balancer, SECOND, 20)
+    assert 100 not in sent_backends(host)
 
 
-def test_one_call_back_ends_a_ban_and_the_backend_is_cold() -> None:
-    balancer, host = built(count=1)
+def test_one_include_ends_a_repeated_ban_and_the_backend_starts_slowly() -> None:
+    balancer, host = balancer_with_backends(count=1)
     balancer.ban(0, 100)
     balancer.ban(0, 100)
-    ask(balancer, 0, 1)
-    assert not sends(host)
+    send_requests(balancer, 0, 1)
+    assert not sent_backends(host)
     balancer.lift_ban(MS, 100)
-    assert sends(host) == [100]  # what waited is served
+    assert sent_backends(host) == [100]  # the queued request is sent
     assert balancer.backends[100].slow_start_until == MS + 8 * SECOND
-    ask(balancer, MS, 3, first=1)
-    assert sends(host) == [100]  # and not all at once
+    send_requests(balancer, MS, 3, first=1)
+    assert sent_backends(host) == [100]  # in slow start, not everything at once
     balancer.on_timer(MS + 2 * SECOND, TIMER_WAKE)
 
 
-def test_a_call_back_without_a_ban_does_not_make_a_backend_cold() -> None:
-    balancer, _ = built()
+def test_an_include_without_a_ban_causes_no_slow_start() -> None:
+    balancer, _ = balancer_with_backends()
     balancer.lift_ban(0, 100)
     balancer.lift_ban(0, 999)
     assert balancer.backends[100].slow_start_until == 0
 
 
-def test_a_call_back_of_one_that_drains_meanwhile_leaves_it_alone() -> None:
-    balancer, host = built()
+def test_an_include_of_a_draining_backend_sends_it_no_request() -> None:
+    balancer, host = balancer_with_backends()
     balancer.ban(0, 100)
     balancer.on_backend_list(0, Update.DELTA, [Listing(100, State.DRAINING)])
     balancer.lift_ban(0, 100)
-    ask(balancer, 0, 20)
-    assert 100 not in sends(host)
+    send_requests(balancer, 0, 20)
+    assert 100 not in sent_backends(host)
 
 
-def test_what_a_banned_backend_holds_goes_on_to_its_answer() -> None:
-    balancer, host = built(count=1)
-    ask(balancer, 0, 1)
+def test_an_attempt_at_a_banned_backend_runs_on_to_its_answer() -> None:
+    balancer, host = balancer_with_backends(count=1)
+    send_requests(balancer, 0, 1)
     balancer.ban(0, 100)
     balancer.on_outcome(MS, 0, 0, 1, MS, True)
     assert (
@@ -114,8 +118,8 @@
     )
 
 
-def test_a_ban_of_a_backend_ejected_keeps_the_count_of_those() -> None:
-    balancer, _ = built(count=4)
+def test_a_ban_of_an_ejected_backend_keeps_the_count_of_ejected_ones() -> None:
+    balancer, _ = balancer_with_backends(count=4)
     balancer.eject(0, balancer.backends[100], "test")
     assert balancer.ejected_count == 1
     balancer.ban(0, 100)
@@ -124,27 +128,29 @@
     assert balancer.ejected_count == 0 and balancer.backends[100].state == State.READY
 
 
-# ---- the words ----------------------------------------------------------
+# ---- parsing of calls ---------------------------------------------------
 
 
-class Told:
+class RecordingControls:
+    """Records the calls it gets; it is never ready."""
+
     def __init__(self) -> None:
-        self.calls: list[tuple[str, ...]] = []
+        self.received: list[tuple[str, ...]] = []
 
     def readyz(self) -> None:
         raise CallError("not yet")
 
     def exclude(self, uid: str) -> None:
-        self.calls.append(("exclude", uid))
+        self.received.append(("exclude", uid))
 
     def include(self, uid: str) -> None:
-        self.calls.append(("include", uid))
+        self.received.append(("include", uid))
 
     def evacuate(self) -> None:
-        self.calls.append(("evacuate",))
+        self.received.append(("evacuate",))
 
     def activate(self) -> None:
-        self.calls.append(("activate",))
+        self.received.append(("activate",))
 
 
 @pytest.mark.parametrize(
@@ -156,9 +162,9 @@
         (b"activate", [("activate",)]),
     ],
 )
-def test_calls_that_are_carried_out(line: bytes, calls: list[tuple[str, ...]]) -> None:
-    told = Told()
-    assert carry_out(told, line) == b"done\n" and told.calls == calls
+def test_a_valid_call_is_carried_out(line: bytes, calls: list[tuple[str, ...]]) -> None:
+    controls = RecordingControls()
+    assert execute_call(controls, line) == b"done\n" and controls.received == calls
 
 
 @pytest.mark.parametrize(
@@ -166,21 +172,21 @@
     [b"", b"exclude", b"exclude a b", b"evacuate now", b"crashed x", b"__init__", b"READYZ",
      b"\xff\xfe", b"readyz"],
 )  # fmt: skip
-def test_calls_that_are_not_are_told_why_in_one_line(line: bytes) -> None:
-    told = Told()
-    text = carry_out(told, line)
+def test_an_invalid_call_gets_one_line_with_the_reason(line: bytes) -> None:
+    controls = RecordingControls()
+    text = execute_call(controls, line)
     assert text.startswith(b"error: ") and text.count(b"\n") == 1 and text.endswith(b"\n")
-    assert not told.calls
+    assert not controls.received
 
 
 # ---- on sockets ---------------------------------------------------------
 
 
 @contextlib.contextmanager
-def operated(tmp_path: Path, backends: int = 1, **over: Any) -> Iterator[
+def node_with_calls(tmp_path: Path, backends: int = 1, **over: Any) -> Iterator[
     tuple[RunningNode, list[socket.socket], int]
 ]:  # fmt: skip
-    """A node whose second address is taken from its log."""
+    """Run a node with a management address, whose port is read from the node's log."""
     with contextlib.ExitStack() as stack:
         socks = [stack.enter_context(listen()) for _ in range(backends)]
         known = roster(*(target(f"s-{i}", s.getsockname()[1]) for i, s in enumerate(socks)))
@@ -191,14 +197,16 @@
         yield n, socks, int(line.rsplit(":", 1)[1])
 
 
-def call(port: int, text: str) -> str:
+def send_call(port: int, text: str) -> str:
+    """Send one line to the management address and return the answer."""
     with socket.create_connection(("127.0.0.1", port), HANG_TIMEOUT_S) as sock:
         peer = Peer(sock)
         peer.send(text.encode())
         return peer.read_to_end().decode()
 
 
-def ready(n: RunningNode) -> str:
+def readiness_status(n: RunningNode) -> str:
+    """Return the status of a readiness probe."""
     client = n.connect()
     client.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     status = client.message()[0].split(" ")[1]
@@ -206,15 +214,16 @@
     return status
 
 
-def test_each_call_is_answered_however_many_say_nothing(tmp_path: Path) -> None:
-    with operated(tmp_path) as (_, _socks, port):
+def test_calls_are_answered_however_many_connections_are_silent(tmp_path: Path) -> None:
+    with node_with_calls(tmp_path) as (_, _socks, port):
         silent = [
-            socket.create_connection(("127.0.0.1", port), HANG_TIMEOUT_S) for _ in range(2 * MOST)
+            socket.create_connection(("127.0.0.1", port), HANG_TIMEOUT_S)
+            for _ in range(2 * MAX_CONNECTIONS)
         ]
         silent[-1].sendall(b"exclu")
         for _ in range(3):
-            assert call(port, "readyz\n") == "done\n"
-        # Those who came first have gone for it, and the latest have not.
+            assert send_call(port, "readyz\n") == "done\n"
+        # The oldest silent connections were closed to make room, the latest were not.
         assert Peer(silent[0]).read_to_end() == b""
         silent[-1].sendall(b"de s-0\n")
         assert Peer(silent[-1]).read_to_end() == b"done\n"
@@ -222,20 +231,20 @@
             sock.close()
 
 
-def test_a_call_without_an_end_or_of_an_unknown_backend_is_told_so(tmp_path: Path) -> None:
-    with operated(tmp_path) as (_, _socks, port):
-        assert call(port, "exclude s-99\n").startswith("error: no backend of this id")
-        assert call(port, "include s-99\n").startswith("error")
-        assert call(port, "x" * (LINE_MOST + 1)).startswith("error")
+def test_a_call_without_an_end_or_for_an_unknown_backend_gets_an_error(tmp_path: Path) -> None:
+    with node_with_calls(tmp_path) as (_, _socks, port):
+        assert send_call(port, "exclude s-99\n").startswith("error: no backend of this id")
+        assert send_call(port, "include s-99\n").startswith("error")
+        assert send_call(port, "x" * (MAX_CALL_BYTES + 1)).startswith("error")
         with socket.create_connection(("127.0.0.1", port), HANG_TIMEOUT_S) as sock:
             sock.sendall(b"evacuate")
             sock.shutdown(socket.SHUT_WR)
             assert Peer(sock).read_to_end().startswith(b"error: half a call")
 
 
-def test_an_excluded_backend_is_sent_nothing_until_it_is_called_back(tmp_path: Path) -> None:
-    with operated(tmp_path, backends=2) as (n, socks, port):
-        # Both have a connection at rest.
+def test_an_excluded_backend_gets_no_request_until_it_is_included(tmp_path: Path) -> None:
+    with node_with_calls(tmp_path, backends=2) as (n, socks, port):
+        # Each backend has an idle connection.
         clients = [n.connect() for _ in range(2)]
         for client in clients:
             client.send(request())
@@ -245,15 +254,15 @@
             peer.send(answer(b"x"))
         for client in clients:
             client.message()
-        assert call(port, "exclude s-0\n") == "done\n"
-        assert peers[0].read_to_end() == b""  # what rested there has been closed
+        assert send_call(port, "exclude s-0\n") == "done\n"
+        assert peers[0].read_to_end() == b""  # the idle connection to it was closed
         for _ in range(4):
             clients[0].send(request())
             peers[1].message()
             peers[1].send(answer(b"y"))
             assert clients[0].message()[2] == b"y"
-        assert call(port, "exclude s-1\n") == "done\n"
-        assert call(port, "include s-0\n") == "done\n"
+        assert send_call(port, "exclude s-1\n") == "done\n"
+        assert send_call(port, "include s-0\n") == "done\n"
         clients[0].send(request())
         back = accept(socks[0])
         back.message()
@@ -261,25 +270,26 @@
         assert clients[0].message()[2] == b"z"
 
 
-def test_a_dial_under_way_carries_nothing_to_a_backend_that_is_excluded(
+def test_a_pending_connection_carries_nothing_to_an_excluded_backend(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A send counts from its first byte: what waits for a connection goes elsewhere."""
+    """A send counts from its first byte: an attempt that still waits for its connection goes to
+    another backend."""
     connect = BackendConnection._connect
     held: list[BackendConnection] = []
 
-    async def first_hangs(conn: BackendConnection) -> None:
+    async def first_connect_hangs(conn: BackendConnection) -> None:
         held.append(conn)
         if len(held) == 1:
             await asyncio.get_running_loop().create_future()
         await connect(conn)
 
-    monkeypatch.setattr(BackendConnection, "_connect", first_hangs)
+    monkeypatch.setattr(BackendConnection, "_connect", first_connect_hangs)
     with listen() as one, listen() as other:
         known = roster(*(target(f"s-{i}", s.getsockname()[1]) for i, s in enumerate((one, other))))
         with in_process_node(tmp_path, known) as i:
 
-            async def story() -> None:
+            async def scenario() -> None:
                 port = i.server.listen(i.config.listen)
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(request("/credit/1", b"b"))
@@ -297,11 +307,11 @@
                 writer.close()
                 peer.close()
 
-            i.run(story())
+            i.run(scenario())
 
 
-def test_an_evacuated_node_says_no_closes_what_rests_and_serves_what_comes(tmp_path: Path) -> None:
-    with operated(tmp_path) as (n, socks, port):
+def test_an_evacuated_node_closes_idle_connections_and_serves_late_requests(tmp_path: Path) -> None:
+    with node_with_calls(tmp_path) as (n, socks, port):
         resting, busy = n.connect(), n.connect()
         resting.send(request())
         peer = accept(socks[0])
@@ -310,11 +320,11 @@
         resting.message()
         busy.send(request())
         peer.message()
-        assert call(port, "evacuate\n") == "done\n"
-        assert ready(n) == "503"
-        assert call(port, "readyz\n") == "done\n"  # the process can serve
+        assert send_call(port, "evacuate\n") == "done\n"
+        assert readiness_status(n) == "503"
+        assert send_call(port, "readyz\n") == "done\n"  # an evacuated process can serve
         assert resting.read_to_end() == b""
-        late = n.connect()  # the front has not heard yet
+        late = n.connect()  # the front has not seen the 503 yet
         late.send(request("/credit/1", b"b"))
         second = accept(socks[0])
         second.message()
@@ -325,8 +335,8 @@
         line, headers, body = late.message()
         assert headers["connection"] == "close" and body == b"late"
         assert busy.read_to_end() == b"" and late.read_to_end() == b""
-        assert call(port, "activate\n") == "done\n"
-        assert ready(n) == "200"
+        assert send_call(port, "activate\n") == "done\n"
+        assert readiness_status(n) == "200"
         again = n.connect()
         again.send(request())
         peers = {peer.sock: peer, second.sock: second}
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery as the node meets it: news, silence, nonsense, and old news."""
+"""Discovery at a node: list updates, hung and broken registries, and outdated answers."""
 
 from __future__ import annotations
 
@@ -30,20 +30,22 @@
 )
 
 
-def reply(peer: Peer, raw: object) -> None:
+def send_list(peer: Peer, raw: object) -> None:
+    """Answer a discovery call with this list."""
     peer.send(answer(json.dumps(raw).encode(), "200 OK", "Content-Type: application/json"))
 
 
-def make_roster(tmp_path: Path) -> BackendList:
+def empty_backend_list(tmp_path: Path) -> BackendList:
+    """Return the backend list of a node that knows no backends."""
     return BackendList(load(config(tmp_path, roster(), 1)))
 
 
-def test_a_watch_goes_on_and_its_news_count(tmp_path: Path) -> None:
+def test_a_watch_continues_from_each_revision_and_its_changes_apply(tmp_path: Path) -> None:
     with listen() as disco, listen() as backend, node(tmp_path, roster(), port(disco)) as n:
         peer = accept(disco)
         first = peer.message()[0]
         assert first.startswith("GET /registry/instances?from=1&hold_ms=")
-        reply(peer, roster(target("s-1", port(backend)), rev=2, whole=False))
+        send_list(peer, roster(target("s-1", port(backend)), rev=2, whole=False))
         peer = accept(disco)
         assert "?from=2&" in peer.message()[0]
         client = n.connect()
@@ -52,8 +54,8 @@
         server.message()
         server.send(answer(b"1"))
         assert client.message()[2] == b"1"
-        reply(peer, roster(target("s-1", port(backend), "leaving"), rev=3, whole=False))
-        assert server.read_to_end() == b""  # no use for it any more
+        send_list(peer, roster(target("s-1", port(backend), "leaving"), rev=3, whole=False))
+        assert server.read_to_end() == b""  # the idle connection to a draining backend is closed
         assert "?from=3&" in accept(disco).message()[0]
 
 
@@ -64,13 +66,13 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nnot json!",
         b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnull",
         b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\ncut",
-        answer(json.dumps(roster(rev=0)).encode()),  # older than what is known
+        answer(json.dumps(roster(rev=0)).encode()),  # a revision older than the current one
         answer(json.dumps({"rev": 2, "all": True, "targets": [{"uid": "s-1"}]}).encode()),
         answer(json.dumps({"rev": 2, "all": True, "targets": 7}).encode()),
         b"NONSENSE",
     ],
 )
-def test_a_failed_call_leaves_the_list_and_is_made_again(tmp_path: Path, data: bytes) -> None:
+def test_a_failed_call_keeps_the_list_and_is_repeated(tmp_path: Path, data: bytes) -> None:
     with listen() as disco, listen() as backend:
         known = roster(target("s-1", port(backend)))
         with node(tmp_path, known, port(disco)) as n:
@@ -78,8 +80,8 @@
             peer.message()
             peer.send(data)
             peer.close()
-            again = accept(disco)  # told as failed: the module asks again in a second or two
-            # Of a version that is older than ours the whole list is asked for, see below.
+            again = accept(disco)  # reported as failed: the Balancer asks again in a second or two
+            # After an answer of an older revision the whole list is asked for, see below.
             since = 0 if b'"rev": 0' in data else 1
             assert f"?from={since}&" in again.message()[0]
             client = n.connect()
@@ -87,10 +89,11 @@
             accept(backend).message()
 
 
-def test_a_service_that_lost_its_count_is_believed_in_the_end(tmp_path: Path) -> None:
-    """Versions that start anew must not leave the node with its old list for good, nor must a
-    replica that lags twice bring back what has left. Asked for news of a version that it never
-    had, such a service would wait out each call: the rest is asked for whole."""
+def test_a_registry_that_lost_its_revision_count_is_accepted_in_the_end(tmp_path: Path) -> None:
+    """Revisions that start again must not leave the node with its old list for ever, and a replica
+    that lags twice must not bring back backends that have left. A registry that is asked for
+    changes since a revision that it never had would hold each call for its whole time: the later
+    calls ask for the whole list."""
     with listen() as disco, listen() as old, listen() as backend:
         known = roster(target("s-0", port(old)), rev=9)
         with node(tmp_path, known, port(disco)) as n:
@@ -99,11 +102,11 @@
                 assert f"?from={since}&" in peer.message()[0]
                 client = n.connect()
                 client.send(request())
-                server = accept(old)  # what it said before is not believed yet
+                server = accept(old)  # the registry's older list is not accepted yet
                 server.message()
                 server.reset()
                 client.reset()
-                reply(peer, roster(target("s-1", port(backend)), rev=3, whole=since != "9"))
+                send_list(peer, roster(target("s-1", port(backend)), rev=3, whole=since != "9"))
             assert "?from=3&" in accept(disco).message()[0]
             client = n.connect()
             client.send(request())
@@ -122,15 +125,15 @@
             client.message()
             peer = accept(disco)
             peer.message()
-            reply(peer, roster(target("s-1", port(new)), rev=2))
+            send_list(peer, roster(target("s-1", port(new)), rev=2))
             assert server.read_to_end() == b""
             client.send(request())
             accept(new).message()
 
 
-def test_ids_are_the_same_everywhere_and_boots_are_converted_once(tmp_path: Path) -> None:
+def test_ids_are_the_same_at_every_node_and_start_times_are_converted_once(tmp_path: Path) -> None:
     """A second conversion of the same boot_ms would look like a restart of every backend."""
-    lists = make_roster(tmp_path)
+    lists = empty_backend_list(tmp_path)
     boot_ms = time.time_ns() // 1_000_000 - 3_000
     raw = roster(target("s-1", 1, boot_ms=boot_ms), target("s-2", 2))
     _, rows, _, _ = lists.parse(raw)
@@ -145,7 +148,7 @@
 
 
 def test_a_list_changes_nothing_until_it_is_applied(tmp_path: Path) -> None:
-    lists = make_roster(tmp_path)
+    lists = empty_backend_list(tmp_path)
     update, rows, endpoints, _ = lists.parse(roster(target("s-1", 1), target("s-2", 2, "leaving")))
     assert update == Update.FULL
     assert [row.state for row in rows] == [State.READY, State.DRAINING]
@@ -169,9 +172,10 @@
         {"capacity_hint": "x"},
     ],
 )
-def test_a_bad_row_voids_no_other(tmp_path: Path, change: dict[str, object]) -> None:
-    """Drains beside it must be heard, and its own backend stays as it was."""
-    lists = make_roster(tmp_path)
+def test_an_unreadable_row_voids_no_other_row(tmp_path: Path, change: dict[str, object]) -> None:
+    """Drains in the same list must be applied, and the backend of the unreadable row stays as it
+    was."""
+    lists = empty_backend_list(tmp_path)
     update, rows, endpoints, _ = lists.parse(roster(target("s-1", 1), target("s-2", 2)))
     lists.apply(1, update, rows, endpoints)
     stranger = target("s-3", 3) | change
@@ -186,7 +190,7 @@
     assert lists.endpoints[backend_id("s-1")].port == 1
 
 
-def test_a_new_id_at_an_address_in_use_ends_the_old_one(tmp_path: Path) -> None:
+def test_a_new_id_at_an_address_in_use_replaces_the_old_id(tmp_path: Path) -> None:
     with listen() as disco, listen() as backend:
         known = roster(target("s-1", port(backend)))
         with node(tmp_path, known, port(disco)) as n:
@@ -198,14 +202,15 @@
             client.message()
             peer = accept(disco)
             peer.message()
-            reply(peer, roster(target("s-2", port(backend)), rev=2, whole=False))
-            assert server.read_to_end() == b""  # the old one's connection
+            send_list(peer, roster(target("s-2", port(backend)), rev=2, whole=False))
+            assert server.read_to_end() == b""  # the connection of the old id
             client.send(request(rid="b"))
             accept(backend).message()
 
 
 def test_a_hung_watch_is_asked_again_at_once(tmp_path: Path) -> None:
-    """What happened meanwhile counts as told: there is no time for a back-off."""
+    """A change that happened meanwhile counts as told to the node, so there is no time for a
+    backoff."""
     with listen() as disco, node(tmp_path, roster(), port(disco)):
         hung = accept(disco)
         assert int(hung.message()[0].split("hold_ms=")[1].split(" ")[0]) <= 4_000
@@ -213,11 +218,11 @@
         gap = time.monotonic()
         again = accept(disco)
         assert time.monotonic() - gap < 0.4
-        # It does not wait for news: what was missed comes at once.
+        # The call does not wait for a change: a missed one is answered at once.
         assert "hold_ms=1 " in again.message()[0]
 
 
-def test_a_half_written_or_endless_answer_is_given_up(tmp_path: Path) -> None:
+def test_an_endless_answer_is_given_up_before_it_fills_memory(tmp_path: Path) -> None:
     with listen() as disco, node(tmp_path, roster(), port(disco)) as n:
         peer = accept(disco)
         peer.message()
@@ -229,11 +234,12 @@
         accept(disco).message()
 
 
-# ---- a new configuration ----------------------------------------------------
+# ---- reload -----------------------------------------------------------------
 
 
 def test_a_reload_moves_to_the_new_address_at_once_and_from_a_whole_list(tmp_path: Path) -> None:
-    """Also to lower version numbers; the old watch's end is no failure, and comes too late."""
+    """The new address is adopted also where its revisions are lower. The end of the old watch is no
+    failure, and comes too late to count."""
     with listen() as old, listen() as new, listen() as one, listen() as two:
         known = roster(target("s-1", port(one)), rev=9)
         with node(tmp_path, known, port(old)) as n:
@@ -243,14 +249,14 @@
             peer = accept(new)
             assert peer.message()[0] == "GET /registry/instances HTTP/1.1"
             assert watch.read_to_end() == b""
-            reply(peer, roster(target("s-2", port(two)), rev=2))
+            send_list(peer, roster(target("s-2", port(two)), rev=2))
             assert "?from=2&" in accept(new).message()[0]
             client = n.connect()
             client.send(request())
             accept(two).message()
 
 
-def test_a_reload_to_a_service_that_is_not_up_yet_or_answers_in_part(tmp_path: Path) -> None:
+def test_a_reload_to_a_registry_that_is_not_up_or_sends_a_partial_list(tmp_path: Path) -> None:
     with contextlib.ExitStack() as stack:
         old, new, backend = (stack.enter_context(listen()) for _ in range(3))
         with node(tmp_path, roster(rev=9), port(old)) as n:
@@ -262,36 +268,37 @@
             peer = accept(new)
             assert time.monotonic() - began < 3
             assert "?from" not in peer.message()[0]
-            reply(peer, roster(target("s-1", port(backend)), rev=3, whole=False))
+            send_list(peer, roster(target("s-1", port(backend)), rev=3, whole=False))
             peer = accept(new)
-            assert "?from" not in peer.message()[0]  # a part of a list is no beginning
-            reply(peer, roster(target("s-1", port(backend)), rev=3))
+            # A partial list is not accepted as the first one.
+            assert "?from" not in peer.message()[0]
+            send_list(peer, roster(target("s-1", port(backend)), rev=3))
             client = n.connect()
             client.send(request())
             accept(backend).message()
 
 
 @pytest.mark.parametrize("text", ["", '{"name": "n0", "disc', "[]", '{"discovery": "nowhere"}'])
-def test_a_file_that_can_not_be_read_changes_nothing(tmp_path: Path, text: str) -> None:
+def test_a_reload_of_a_broken_file_changes_nothing(tmp_path: Path, text: str) -> None:
     with listen() as old, listen() as new, node(tmp_path, roster(rev=9), port(old)) as n:
         peer = accept(old)
         peer.message()
-        whole = n.file.read_text()
+        whole = n.config_path.read_text()
         n.reload(text)
-        reply(peer, roster(rev=10, whole=False))
-        peer = accept(old)  # it goes on where it was
+        send_list(peer, roster(rev=10, whole=False))
+        peer = accept(old)  # the node continues at the old address and revision
         assert "?from=10&" in peer.message()[0]
-        n.file.write_text(whole)
+        n.config_path.write_text(whole)
         n.reload(discovery=f"127.0.0.1:{port(new)}")
         accept(new).message()
 
 
-def test_a_file_written_in_two_halves_is_taken_without_another_signal(tmp_path: Path) -> None:
+def test_a_file_written_in_two_halves_is_adopted_without_another_signal(tmp_path: Path) -> None:
     with listen() as old, listen() as new, node(tmp_path, roster(rev=9), port(old)) as n:
         accept(old).message()
-        whole = n.file.read_text().replace(f":{port(old)}", f":{port(new)}")
+        whole = n.config_path.read_text().replace(f":{port(old)}", f":{port(new)}")
         n.reload(whole[:100])
-        n.file.write_text(whole)
+        n.config_path.write_text(whole)
         accept(new).message()
 
 
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -86,7 +86,7 @@
     (ClientConnection, "_start_request", (b"500",)),
     (ClientConnection, "send_response", (b"500", b"502", b"")),
     (Node, "start_request", (b"500",)),
-    (Node, "carry", (b"502",)),
+    (Node, "start_attempt", (b"502",)),
     (Node, "conclude", (b"200", b"502", b"503", b"504", b"")),
     (HttpConnectionPool, "send", (b"502", b"503")),
     (BackendConnection, "dial", (b"502", b"503")),
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The ordinary path of the real node, on loopback sockets."""
+"""Requests, readiness, a stop and a bad configuration, at a node process on loopback sockets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .harness import accept, answer, config, launch, listen, node, request, roster, target
 
 
-def test_a_request_passes_through_unchanged_and_connections_are_kept(tmp_path: Path) -> None:
+def test_a_request_passes_through_unchanged_and_connections_are_reused(tmp_path: Path) -> None:
     with listen() as backend, node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as n:
         client = n.connect()
         client.send(
@@ -40,7 +40,7 @@
         assert client.message()[2] == b"again"
 
 
-def test_ready_and_a_stop_with_status_0(tmp_path: Path) -> None:
+def test_a_readiness_probe_is_answered_and_a_stop_exits_with_status_0(tmp_path: Path) -> None:
     with node(tmp_path, roster()) as n:
         client = n.connect()
         client.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -48,14 +48,14 @@
         assert n.stop() == 0
 
 
-def test_a_stop_finishes_what_is_held(tmp_path: Path) -> None:
+def test_a_stop_answers_open_requests_before_the_exit(tmp_path: Path) -> None:
     with listen() as backend, node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as n:
         client = n.connect()
         client.send(request())
         peer = accept(backend)
         peer.message()
         n.process.send_signal(signal.SIGTERM)
-        late = n.connect()  # the kernel goes on taking connections
+        late = n.connect()  # the listener still accepts connections
         late.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         line, headers, _ = late.message()
         assert (line, headers["connection"]) == ("HTTP/1.1 503 Service Unavailable", "close")
@@ -76,7 +76,7 @@
         ('{"discovery":"127.0.0.1:1","settings":{}}', "settings.rules is missing"),
     ],
 )
-def test_a_bad_configuration_is_one_line_and_status_2(
+def test_a_bad_configuration_prints_one_line_and_exits_with_status_2(
     tmp_path: Path, text: str | None, says: str
 ) -> None:
     environ = config(tmp_path, roster(), 1)
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,7 +1,7 @@
-"""A node that is told to end: what comes between that word and its exit, each crossing forced.
+"""A stop of a node, from SIGTERM to the exit, with each race between events forced.
 
-A run is driven inside the test's own loop. Its times are long here, and what is due is called by
-the test: nothing hangs on how quick the machine is.
+A run is driven inside the test's own loop. The time-outs of the stop are set very long and the test
+calls what is due, so no result depends on the speed of the machine.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 import uvloop
 
 from windrelay import __main__ as main
-from windrelay.__main__ import KILL_S, TERM_MOST_S, Run
+from windrelay.__main__ import KILL_GRACE_S, MAX_DEADLINE_WAIT_S, Run
 from windrelay.config import Address, load
-from windrelay.handover import CLAIM_S, claim
+from windrelay.handover import HANDOVER_TIMEOUT_S, receive_handover
 from windrelay.upstream import BackendConnection
 
 from .harness import HANG_TIMEOUT_S, SETTINGS, answer, config, request, roster, target
@@ -30,8 +30,8 @@
 BALANCE, CREDIT = SETTINGS["classes"]
 
 
-class Stopping:
-    """A run before one server of the test's, on a loop of its own."""
+class StoppableRun:
+    """A run with one backend that the test plays, on a loop of its own."""
 
     def __init__(self, tmp_path: Path, backend: socket.socket, **over: Any) -> None:
         self.environ = config(tmp_path, roster(target("s-1", backend.getsockname()[1])), 1, **over)
@@ -41,212 +41,222 @@
         self.log_lines: list[str] = []
         self.run.node.log = self.log_lines.append  # type: ignore[method-assign, assignment]
         self.backend = backend
-        self.ends: list[ScriptedPeer] = []
+        self.connections: list[ScriptedPeer] = []
 
-    def begin(self) -> None:
+    def start(self) -> None:
+        """Start the node and its listener."""
         self.run.node.start()
         self.port = self.run.server.listen(self.run.config.listen)
 
-    def drive(self, story: Any) -> None:
-        self.loop.run_until_complete(asyncio.wait_for(story, HANG_TIMEOUT_S))
+    def execute(self, scenario: Any) -> None:
+        """Run a scenario on the loop; fails where it hangs."""
+        self.loop.run_until_complete(asyncio.wait_for(scenario, HANG_TIMEOUT_S))
 
     async def wait_until(self, condition: Any) -> None:
+        """Let the loop run until the condition holds."""
         while not condition():
             await asyncio.sleep(0.001)
 
     async def run_loop_turns(self, count: int = 20) -> None:
+        """Let the loop run this many iterations."""
         for _ in range(count):
             await asyncio.sleep(0)
 
-    def client(self, data: bytes = b"") -> ScriptedPeer:
+    def connect_client(self, data: bytes = b"") -> ScriptedPeer:
+        """Connect a client to the node and send it these bytes."""
         end = ScriptedPeer(self.loop, socket.create_connection(("127.0.0.1", self.port)))
-        self.ends.append(end)
+        self.connections.append(end)
         if data:
             end.send(data)
         return end
 
-    async def server(self) -> ScriptedPeer:
+    async def accept_backend(self) -> ScriptedPeer:
+        """Accept the node's next connection to the backend."""
         sock, _ = await self.loop.sock_accept(self.backend)
-        self.ends.append(end := ScriptedPeer(self.loop, sock))
+        self.connections.append(end := ScriptedPeer(self.loop, sock))
         return end
 
-    def late(self) -> None:
-        """The end of the time that a stop has."""
-        self.run.give_up_at = self.loop.time() - 1.0
-        self.run.wait()
+    def expire_stop_deadline(self) -> None:
+        """Let the deadline of the stop pass."""
+        self.run.stop_deadline = self.loop.time() - 1.0
+        self.run.wait_for_requests()
 
 
 @contextlib.contextmanager
-def stopping(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, **over: Any) -> Iterator[Stopping]:
-    monkeypatch.setattr(main, "ACCEPT_S", 1000.0)
-    monkeypatch.setattr(main, "POLL_S", 1000.0)
+def stoppable_run(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, **over: Any
+) -> Iterator[StoppableRun]:
+    """Run a started node whose stop proceeds only where the test calls it."""
+    monkeypatch.setattr(main, "ACCEPT_GRACE_S", 1000.0)
+    monkeypatch.setattr(main, "POLL_INTERVAL_S", 1000.0)
     with socket.create_server(("127.0.0.1", 0)) as backend:
         backend.setblocking(False)
-        one = Stopping(tmp_path, backend, **over)
+        one = StoppableRun(tmp_path, backend, **over)
         try:
 
             async def begin() -> None:
-                one.begin()
+                one.start()
 
-            one.drive(begin())
+            one.execute(begin())
             yield one
         finally:
-            for end in one.ends:
+            for end in one.connections:
                 end.close()
             one.loop.close()
             asyncio.set_event_loop(None)
 
 
 @pytest.mark.parametrize(("deadline_s", "most_s"), [(1, 1.0), (3, 3.0), (10, 3.0), (600, 3.0)])
-def test_a_stop_is_over_before_the_kill_whatever_the_deadlines(
+def test_a_stop_ends_before_the_kill_whatever_the_deadlines(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, deadline_s: int, most_s: float
 ) -> None:
-    """SIGKILL waits for the longest deadline, and for 3 s of it at the most."""
+    """SIGKILL comes after the longest deadline, of which 3 s count at the most."""
     classes = [BALANCE | {"deadline": deadline_s * 1_000_000_000}]
-    with stopping(tmp_path, monkeypatch, settings={"classes": classes}) as s:
+    with stoppable_run(tmp_path, monkeypatch, settings={"classes": classes}) as s:
 
-        async def story() -> None:
+        async def scenario() -> None:
             before = s.loop.time()
             s.run.stop()
-            assert before + most_s < s.run.give_up_at < s.loop.time() + most_s + KILL_S
-            assert most_s <= TERM_MOST_S
-            given = s.run.give_up_at
-            s.run.stop()  # a second word changes nothing
-            assert s.run.give_up_at == given
+            assert before + most_s < s.run.stop_deadline < s.loop.time() + most_s + KILL_GRACE_S
+            assert most_s <= MAX_DEADLINE_WAIT_S
+            stop_deadline = s.run.stop_deadline
+            s.run.stop()  # a second stop has no effect
+            assert s.run.stop_deadline == stop_deadline
 
-        s.drive(story())
+        s.execute(scenario())
 
 
 @pytest.mark.parametrize("path", ["/balance/1", "/credit/1"])
-def test_what_a_hung_server_holds_at_the_end_is_failed_and_never_refused(
+def test_a_request_at_a_hung_backend_is_failed_and_not_refused_at_the_stop_deadline(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, path: str
 ) -> None:
-    with stopping(tmp_path, monkeypatch) as s:
+    with stoppable_run(tmp_path, monkeypatch) as s:
 
-        async def story() -> None:
-            client = s.client(request(path, b"x" if "credit" in path else None))
-            server = await s.server()
+        async def scenario() -> None:
+            client = s.connect_client(request(path, b"x" if "credit" in path else None))
+            server = await s.accept_backend()
             await server.message()
             s.run.stop()
-            s.late()
+            s.expire_stop_deadline()
             first, headers, _ = await client.message()
             assert first.split(" ")[1] == "502" and headers["connection"] == "close"
             server.send(answer(b"late"))
             assert await client.read_to_end() == b""
 
-        s.drive(story())
+        s.execute(scenario())
 
 
-def test_a_request_whose_rest_comes_in_the_last_moment_is_refused_and_not_sent_on(
+def test_a_request_completed_after_the_stop_deadline_is_refused_and_not_sent_on(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Read between the last word to all and the exit it was begun, sent on, and lost."""
-    with stopping(tmp_path, monkeypatch) as s:
+    """A request read between the final failing of open requests and the exit was sent to a backend
+    and lost."""
+    with stoppable_run(tmp_path, monkeypatch) as s:
 
-        async def story() -> None:
+        async def scenario() -> None:
             whole = request("/credit/1", b"x")
-            client = s.client(whole[:40])
+            client = s.connect_client(whole[:40])
             await s.wait_until(lambda: any(c._incoming for c in s.run.server.connections))
             s.run.stop()
-            s.late()
+            s.expire_stop_deadline()
             client.send(whole[40:])
             assert await client.status() == 503
             assert not s.run.node.upstream.descriptor_count and not s.run.node.requests
             assert not s.run.node.budget.held_bytes
 
-        s.drive(story())
+        s.execute(scenario())
 
 
-def test_a_dial_that_comes_up_after_the_last_word_carries_nothing(
+def test_a_connection_established_after_the_stop_deadline_carries_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     made: list[Any] = []
     inner = BackendConnection.connection_made
     monkeypatch.setattr(BackendConnection, "connection_made", lambda c, t: made.append((c, t)))
     monkeypatch.setattr(BackendConnection, "_dial_expired", lambda *_: None)
-    with stopping(tmp_path, monkeypatch) as s:
+    with stoppable_run(tmp_path, monkeypatch) as s:
 
-        async def story() -> None:
-            client = s.client(request("/credit/1", b"x"))
+        async def scenario() -> None:
+            client = s.connect_client(request("/credit/1", b"x"))
             await s.wait_until(lambda: made)
             s.run.stop()
-            s.late()
+            s.expire_stop_deadline()
             assert await client.status() == 502
-            server = await s.server()
+            server = await s.accept_backend()
             inner(*made[0])
             await s.run_loop_turns()
             made[0][0].transport.abort()
             assert await server.read_to_end() == b""
 
-        s.drive(story())
+        s.execute(scenario())
 
 
 @pytest.mark.parametrize("first", ["stop", "reload"])
-def test_a_reload_and_a_stop_in_one_moment_end_in_a_stop(
+def test_a_reload_and_a_stop_at_the_same_moment_end_in_a_stop(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, first: str
 ) -> None:
-    """Each twice, in both orders, with a request open whose class the new file drops."""
-    with stopping(tmp_path, monkeypatch) as s:
+    """Each comes twice, in both orders, while a request is open whose class the new file drops."""
+    with stoppable_run(tmp_path, monkeypatch) as s:
 
-        async def story() -> None:
-            client = s.client(request("/credit/1", b"x"))
-            server = await s.server()
+        async def scenario() -> None:
+            client = s.connect_client(request("/credit/1", b"x"))
+            server = await s.accept_backend()
             await server.message()
             file = Path(s.environ["PROXY_CONFIG"])
             whole = file.read_text()
             file.write_text(whole.replace('"credit"', '"other"'))
-            for what in (first, "reload" if first == "stop" else "stop") * 2:
-                getattr(s.run, what)()
+            for action in (first, "reload" if first == "stop" else "stop") * 2:
+                getattr(s.run, action)()
             assert s.run.server.stopping
             server.send(answer(b"served"))
             first_line, headers, body = await client.message()
             assert (first_line.split(" ")[1], body) == ("200", b"served")
             assert headers["connection"] == "close"
-            if s.run.dropping is not None:
-                s.run.dropping.cancel()
-                s.run.drop(s.run.config)
+            if s.run.drop_timer is not None:
+                s.run.drop_timer.cancel()
+                s.run.drop_classes(s.run.config)
             assert not s.run.node.unexpected_error_count
 
-        s.drive(story())
+        s.execute(scenario())
 
 
 @pytest.mark.parametrize("when", ["before", "after"])
-def test_a_request_on_a_resting_connection_in_the_moment_of_the_word_is_answered(
+def test_a_request_on_an_idle_connection_at_the_moment_of_a_stop_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, when: str
 ) -> None:
-    with stopping(tmp_path, monkeypatch) as s:
+    with stoppable_run(tmp_path, monkeypatch) as s:
 
-        async def story() -> None:
-            client = s.client(request())
-            server = await s.server()
+        async def scenario() -> None:
+            client = s.connect_client(request())
+            server = await s.accept_backend()
             await server.message()
             server.send(answer(b"1"))
             assert (await client.message())[1].get("connection") is None
             await s.wait_until(lambda: s.run.server.idle)
             if when == "before":
-                client.send(request())  # it lies in the kernel, unread
+                client.send(request())  # the request waits in the kernel, unread
                 s.run.stop()
             else:
                 s.run.stop()
                 client.send(request())
-            assert not s.run.server.try_finish()  # what lies unread is not closed over
+            assert not s.run.server.try_finish()  # a connection with unread data is not closed
             await server.message()
             server.send(answer(b"2"))
             _, headers, body = await client.message()
             assert (body, headers["connection"]) == (b"2", "close")
             await s.wait_until(s.run.server.try_finish)
 
-        s.drive(story())
+        s.execute(scenario())
 
 
-def test_small_writes_are_held_back_on_neither_side(
+def test_small_writes_are_not_delayed_by_nagle_on_either_side(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    with stopping(tmp_path, monkeypatch) as s:
+    with stoppable_run(tmp_path, monkeypatch) as s:
 
-        async def story() -> None:
-            s.client(request())
-            server = await s.server()
+        async def scenario() -> None:
+            s.connect_client(request())
+            server = await s.accept_backend()
             await server.message()
             (conn,) = s.run.server.connections
             (r,) = s.run.node.requests.values()
@@ -258,13 +268,13 @@
             server.send(answer(b"1"))
             await s.wait_until(lambda: not s.run.node.requests)
 
-        s.drive(story())
+        s.execute(scenario())
 
 
-def test_a_state_that_trickles_in_holds_up_no_start(
+def test_a_state_that_trickles_in_does_not_delay_the_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The bound is on all of it: each piece used to have a second of its own."""
+    """With a time-out for each piece instead of the whole state, a start could hang."""
     clock = [time.monotonic()]
     path = str(tmp_path / "line.sock")
     waits: list[float] = []
@@ -284,7 +294,8 @@
         monkeypatch.setattr("windrelay.handover.socket.socket", Line)
         monkeypatch.setattr("windrelay.handover.socket.recv_fds", lambda *_: (b"L", [], 0, None))
         monkeypatch.setattr("windrelay.handover.time.monotonic", lambda: clock[0])
-        monkeypatch.setattr("windrelay.handover.STATE_MOST", 6)  # or it would trickle for good
-        assert claim(path, Address("127.0.0.1", 0), lambda _text: None) is None
-    assert waits[0] == CLAIM_S and max(waits[-2:]) < 0.2
+        # Without a size limit the state would trickle in for ever.
+        monkeypatch.setattr("windrelay.handover.MAX_STATE_BYTES", 6)
+        assert receive_handover(path, Address("127.0.0.1", 0), lambda _text: None) is None
+    assert waits[0] == HANDOVER_TIMEOUT_S and max(waits[-2:]) < 0.2
     assert len(os.listdir(tmp_path)) == 1
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A whole small world in one test: servers, their list, a node, callers, and the ledger."""
+"""A complete set-up in one test: servers, their list, a node, callers, and a checking ledger."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from standins.registry import Mood, Registry
 from standins.servers import Behaviour, TopupServer
 
-AT_REST = 30  # descriptors of a node that serves nobody, at most
+MAX_IDLE_DESCRIPTORS = 30  # descriptors of a node without clients, at most
 
 
 class World:
-    """Built in a test's own loop; the node is a process."""
+    """The parts of the set-up, built in the test's own loop; the node is a process."""
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
@@ -31,17 +31,22 @@
         self.node: NodeProcess
 
     def caller(self, name: str, **over: Any) -> Caller:
+        """Return a caller that sends its requests to the node."""
         return Caller(name, self.node.port, self.ledger, Random(self.rng.random()), **over)
 
     async def run_callers(
-        self, count: int, asks: int, manners: dict[Manner, float] | None = None, **over: Any
+        self,
+        count: int,
+        requests_each: int,
+        manners: dict[Manner, float] | None = None,
+        **over: Any,
     ) -> None:
-        """So many callers at once, each with so many requests in turn."""
+        """Run this many callers at once, each with this many requests in turn."""
         at = len(self.ledger.entries)
         callers = [self.caller(f"c{at}.{i}", manners=manners, **over) for i in range(count)]
 
         async def go(caller: Caller) -> None:
-            for _ in range(asks):
+            for _ in range(requests_each):
                 if await caller.ask() is None and caller.refused_dials > 100:
                     break
             caller.drop()
@@ -49,10 +54,11 @@
         await asyncio.gather(*(go(caller) for caller in callers))
 
     async def releases_descriptors(self) -> bool:
-        """Whether the node gives back every descriptor; waits for what only it can do."""
-        return await self.becomes_true(lambda: self.node.descriptors() <= AT_REST)
+        """Return whether the node closes all but its idle descriptors within the time-out."""
+        return await self.becomes_true(lambda: self.node.descriptors() <= MAX_IDLE_DESCRIPTORS)
 
     async def becomes_true(self, condition: Callable[[], bool], seconds: float = 15.0) -> bool:
+        """Wait for a condition; returns False where it does not hold within the time-out."""
         for _ in range(int(seconds / 0.02)):
             if condition():
                 return True
@@ -69,7 +75,8 @@
     moods: dict[Mood, float] | None = None,
     **over: Any,
 ) -> AsyncIterator[World]:
-    """A node before one server for each behaviour; above the fault layer where there is a plan."""
+    """Run a node with one server for each behaviour; with a `plan`, faults are injected below the
+    node."""
     w = World(seed)
     w.registry.moods = moods or w.registry.moods
     try:
--- a/windrelay/__init__.py
+++ b/windrelay/__init__.py
@@ -1,1 +1,4 @@
-"""The real node round the decisions of flinthatch; see docs/design.md."""
+"""The load balancer node: sockets and processes around the decisions of flinthatch.
+
+The design is described in docs/design.md.
+"""
--- a/windrelay/config.py
+++ b/windrelay/config.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start, checked once and frozen."""
+"""The configuration of a node: read and checked once at its start or reload, then immutable."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
 from flinthatch.simulator_adapter import ProtocolError, settings_from_json
 
 DEFAULT_MEMORY_MB = 128
-DEFAULT_SOCKETS = 1024
-MIN_SOCKETS = 64
+DEFAULT_MAX_DESCRIPTORS = 1024
+LEAST_MAX_DESCRIPTORS = 64
 
 
 class ConfigError(Exception):
-    """The environment or the configuration can't be used; the text says why."""
+    """The environment or the configuration file can't be used; the text says why."""
 
 
 class Address(NamedTuple):
+    """An IPv4 address and a port."""
+
     host: str
     port: int
 
@@ -30,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Times in nanoseconds, as everywhere in the node."""
+    """The configuration of a node; times are in nanoseconds, as everywhere in the node."""
 
     name: str
     listen: Address
@@ -41,16 +43,19 @@
     initial_list: dict[str, Any]
     settings: Settings
     zones: tuple[str, ...]
-    kinds: tuple[str, ...]
+    kinds: tuple[str, ...]  # hardware models that rows of the list name, by their numbers
     backend_idle_timeout: int
     max_open_requests: int
     load_reports_enabled: bool
-    raw: dict[str, Any]  # the file's words but for the list of backends; for the next reload
-    mgmt: Address | None = None  # where the operators' calls come
+    raw: dict[str, Any]  # the file's content without `known`; the next reload is compared with it
+    mgmt: Address | None = None  # where management calls are accepted; None: nowhere
 
 
 def parse_address(text: object) -> Address:
-    """Split "host:port"; ValueError on anything else. Port 0 lets the kernel choose."""
+    """Split "host:port"; raises ValueError on anything else.
+
+    With port 0 the kernel chooses a port.
+    """
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
         raise ValueError(f"{text!r} is no host:port")
@@ -58,20 +63,25 @@
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read the file named by PROXY_CONFIG; the other variables go before what it says."""
-    return _load(environ, ("name", "listen", "discovery", "mgmt"))
+    """Read the file named by PROXY_CONFIG; the other PROXY_ variables take precedence over it.
+    Raises ConfigError."""
+    return _load_file(environ, ("name", "listen", "discovery", "mgmt"))
 
 
 def reload(environ: Mapping[str, str], old: Config) -> tuple[Config, list[str]]:
-    """Read the file anew: what a running node goes on under, and what waits for a restart.
+    """Read the file again for a running node.
 
-    It is taken whole or turned down whole, with ConfigError. The environment is that of the
-    start, so the file goes before what it says of discovery. `known` is older than the list in
-    hand, and the addresses in use stay.
+    Returns the configuration to adopt, and the keys whose new values need a restart. The file is
+    adopted as a whole or rejected as a whole with ConfigError. The environment still holds the
+    values of the start, so for `discovery` the file takes precedence over it. The file's `known`
+    list is older than the node's current list and is ignored, and the addresses that the node
+    listens on stay.
     """
-    new = _load(environ, ("name", "listen", "mgmt"))
-    _compare(new.raw, old.raw, "")
-    kept = [key for key in ("name", "listen", "mgmt") if getattr(new, key) != getattr(old, key)]
+    new = _load_file(environ, ("name", "listen", "mgmt"))
+    _check_keys_kept(new.raw, old.raw, "")
+    ignored_keys = [
+        key for key in ("name", "listen", "mgmt") if getattr(new, key) != getattr(old, key)
+    ]
     config = replace(
         new,
         name=old.name,
@@ -80,32 +90,35 @@
         seed=old.seed,
         initial_list=old.initial_list,
     )
-    return config, kept
+    return config, ignored_keys
 
 
-MAY_LACK = frozenset(("aim_stretch",))
+OPTIONAL_ROW_KEYS = frozenset(("aim_stretch",))
 
 
-def _compare(new: Any, old: Any, place: str) -> None:
-    """ConfigError where a key is gone that the file in force has: it was cut, or is another's."""
+def _check_keys_kept(new: Any, old: Any, path: str) -> None:
+    """Raise ConfigError where a key of the current file is missing in the new one.
+
+    Such a file was truncated, or belongs to another node.
+    """
     if isinstance(old, dict):
         if not isinstance(new, dict):
-            raise ConfigError(f"{place or 'the file'} is no object any more")
+            raise ConfigError(f"{path or 'the file'} is not an object any more")
         for key, value in old.items():
-            at = f"{place}.{key}" if place else key
+            key_path = f"{path}.{key}" if path else key
             if key not in new or (new[key] is None and value is not None):
-                raise ConfigError(f"the configuration lacks {at!r}")
-            _compare(new[key], value, at)
+                raise ConfigError(f"the configuration lacks {key_path!r}")
+            _check_keys_kept(new[key], value, key_path)
     elif isinstance(old, list) and old and all(isinstance(row, dict) for row in old):
-        # Rows come and go; what all of them had, each has.
-        common = set.intersection(*(set(row) for row in old)) - MAY_LACK
+        # Rows may be added and removed; every new row needs the keys that all the old rows have.
+        common = set.intersection(*(set(row) for row in old)) - OPTIONAL_ROW_KEYS
         for i, row in enumerate(new if isinstance(new, list) else ()):
-            lacking = sorted(common - set(row)) if isinstance(row, dict) else sorted(common)
-            if lacking:
-                raise ConfigError(f"the configuration lacks {f'{place}[{i}].{lacking[0]}'!r}")
+            missing = sorted(common - set(row)) if isinstance(row, dict) else sorted(common)
+            if missing:
+                raise ConfigError(f"the configuration lacks {f'{path}[{i}].{missing[0]}'!r}")
 
 
-def _load(environ: Mapping[str, str], told: tuple[str, ...]) -> Config:
+def _load_file(environ: Mapping[str, str], overridable_keys: tuple[str, ...]) -> Config:
     path = environ.get("PROXY_CONFIG")
     if not path:
         raise ConfigError("PROXY_CONFIG is not set")
@@ -118,16 +131,16 @@
         raise ConfigError(f"{path} is not JSON: {err}") from None
     if not isinstance(raw, dict):
         raise ConfigError(f"{path} is not a JSON object")
-    words = raw | {"known": None}
-    for key in told:
+    file_settings = raw | {"known": None}
+    for key in overridable_keys:
         raw[key] = environ.get(f"PROXY_{key.upper()}") or raw.get(key)
     try:
-        return _config(SettingsObject(raw, ""), words)
+        return _read_config(SettingsObject(raw, ""), file_settings)
     except (InvalidSettingError, ProtocolError) as err:
         raise ConfigError(f"{path}: {err}") from None
 
 
-def _address(raw: SettingsObject, key: str) -> Address:
+def _read_address(raw: SettingsObject, key: str) -> Address:
     text = raw.value(key)
     try:
         return parse_address(text)
@@ -137,35 +150,37 @@
         ) from None
 
 
-def _seed(raw: SettingsObject) -> int:
-    word = raw.raw.get("seed") or "0"
+def _read_seed(raw: SettingsObject) -> int:
+    text = raw.raw.get("seed") or "0"
     try:
-        return int(str(word), 16)
+        return int(str(text), 16)
     except ValueError:
         raise InvalidSettingError(
-            f"{raw.path_of('seed')} is {format_value(word)}: hexadecimal is wanted"
+            f"{raw.path_of('seed')} is {format_value(text)}: hexadecimal is wanted"
         ) from None
 
 
-def _config(raw: SettingsObject, words: dict[str, Any]) -> Config:
+def _read_config(raw: SettingsObject, file_settings: dict[str, Any]) -> Config:
     limits = raw.child("limits")
     settings = raw.child("settings", required=True)
-    theirs = settings.child("limits")
+    settings_limits = settings.child("limits")
     initial_list = raw.raw.get("known") or {"rev": 0, "all": True, "targets": []}
     return Config(
         name=raw.string("name"),
-        listen=_address(raw, "listen"),
-        discovery=_address(raw, "discovery"),
-        seed=_seed(raw),
+        listen=_read_address(raw, "listen"),
+        discovery=_read_address(raw, "discovery"),
+        seed=_read_seed(raw),
         memory_mb=limits.integer("memory_mb", DEFAULT_MEMORY_MB, minimum=1),
-        max_descriptors=limits.integer("sockets", DEFAULT_SOCKETS, minimum=MIN_SOCKETS),
+        max_descriptors=limits.integer(
+            "sockets", DEFAULT_MAX_DESCRIPTORS, minimum=LEAST_MAX_DESCRIPTORS
+        ),
         initial_list=dict(SettingsObject(initial_list, "known").raw),
         settings=settings_from_json(json.dumps(settings.raw).encode()),
         zones=settings.strings("areas"),
         kinds=settings.strings("skus"),
-        backend_idle_timeout=theirs.integer("idle_close", 15_000_000_000),
-        max_open_requests=theirs.integer("open_cap", 20_000, minimum=1),
+        backend_idle_timeout=settings_limits.integer("idle_close", 15_000_000_000),
+        max_open_requests=settings_limits.integer("open_cap", 20_000, minimum=1),
         load_reports_enabled=settings.child("load_info").string("how", "off") != "off",
-        raw=words,
-        mgmt=_address(raw, "mgmt") if raw.raw.get("mgmt") else None,
+        raw=file_settings,
+        mgmt=_read_address(raw, "mgmt") if raw.raw.get("mgmt") else None,
     )
--- a/windrelay/controls.py
+++ b/windrelay/controls.py
@@ -1,7 +1,8 @@
-"""What the operators' calls do to a running node, and what of it a successor gets.
+"""Carries out management calls on a running node, and exchanges state with another process of the
+same node.
 
-Joins the node, its server of clients and the line to a process of the same node (see
-`succession`). The decisions stay in the module: a ban is a word to it.
+NodeControls joins the node, its server for clients, and the connection to the other process (see
+`handover`). The load balancing decisions stay in the Balancer, which is only told of a ban.
 """
 
 from __future__ import annotations
@@ -13,63 +14,70 @@
 from flinthatch import Balancer, Listing
 from flinthatch.learned_state import export_learned_state, restore_learned_state
 from windrelay.discovery import backend_id
-from windrelay.handover import Estate, Line, Waiting
+from windrelay.handover import Handover, PeerConnection, SuccessorListener
 from windrelay.http_node import HttpNode
 from windrelay.management import CallError
-from windrelay.node import RESERVED_DESCRIPTORS, RESERVED_MGMT
+from windrelay.node import RESERVED_DESCRIPTORS, RESERVED_MANAGEMENT_DESCRIPTORS
 from windrelay.server import Server
 
-SLACK = 8  # descriptors that a process in its last seconds may still open
+SPARE_DESCRIPTORS = 8  # descriptors that a process may still open while it ends
 
 
-class Operated:
+class NodeControls:
     """Implements management.Controls for one node."""
 
     def __init__(self, node: HttpNode, server: Server) -> None:
         self.node = node
         self.server = server
         self.serving = False
-        self.waiting: Waiting | None = None
-        self.line: Line | None = None  # to the other process, while there are two
-        self.older = False  # whether it is our successor that is at its other end
+        self.successor_listener: SuccessorListener | None = None
+        self.peer: PeerConnection | None = None  # connection to the other process, while two run
+        # Whether the process at the other end is this one's successor.
+        self.peer_is_successor = False
 
-    # ---- calls ----------------------------------------------------------
+    # ---- management calls -----------------------------------------------
 
     def readyz(self) -> None:
+        """Raise CallError unless this process serves clients."""
         if not self.serving:
-            raise CallError("not serving: it starts or stops")
+            raise CallError("not serving: the process starts or stops")
 
     def exclude(self, uid: str) -> None:
-        backend = self._listed(uid)
+        """Send a backend no new attempt, at this process and at the other one."""
+        backend = self._find_backend(uid)
         self.node.exclude(backend)
-        self._pass_on("exclude", backend)
+        self._forward_call("exclude", backend)
 
     def include(self, uid: str) -> None:
-        backend = self._listed(uid)
+        """Use an excluded backend again, at this process and at the other one."""
+        backend = self._find_backend(uid)
         self.node.include(backend)
-        self._pass_on("include", backend)
+        self._forward_call("include", backend)
 
     def evacuate(self) -> None:
+        """Empty the node of clients, at this process and at the other one."""
         self.server.evacuate()
-        self._pass_on("evacuate")
+        self._forward_call("evacuate")
 
     def activate(self) -> None:
+        """Accept clients again, at this process and at the other one."""
         self.server.activate()
-        self._pass_on("activate")
+        self._forward_call("activate")
 
-    def _listed(self, uid: str) -> int:
+    def _find_backend(self, uid: str) -> int:
         backend = backend_id(uid)
-        if backend not in self.node.discovery.backend_list.seen:
+        if backend not in self.node.discovery.backend_list.remembered_ids:
             raise CallError(f"no backend of this id was ever listed: {uid[:80]}")
         return backend
 
-    def _pass_on(self, *call: object) -> None:
+    def _forward_call(self, *call: object) -> None:
+        """Log a call that was carried out here, and forward it to the other process."""
         self.node.log(f"call: {' '.join(map(str, call))}")
-        if self.line is not None:
-            self.line.tell({"call": call})
+        if self.peer is not None:
+            self.peer.send({"call": call})
 
-    def _passed_on(self, call: Any) -> None:
-        """What the other process was told."""
+    def _apply_forwarded_call(self, call: Any) -> None:
+        """Carry out a call that the other process forwarded."""
         match call:
             case ["exclude", int(backend)]:
                 self.node.exclude(backend)
@@ -80,19 +88,20 @@
             case ["activate"]:
                 self.server.activate()
 
-    # ---- two processes --------------------------------------------------
+    # ---- exchange with the other process --------------------------------
 
-    def bequeath(self) -> tuple[socket.socket, dict[str, Any]]:
-        """What a successor gets; OSError where there is no listener to hand over."""
+    def export_state(self) -> tuple[socket.socket, dict[str, Any]]:
+        """Return the listener and the state for a successor. Raises OSError where there is no
+        listener."""
         listener = self.server.listener
         if listener is None:
-            raise OSError("it stops")
+            raise OSError("the running process is stopping")
         node = self.node
         now = time.monotonic_ns()
         backend_list = node.discovery.backend_list
         return listener, {
             "format": 1,
-            "held": self._held(),
+            "held": self._descriptors_in_use(),
             "bans": list(node.balancer.banned),
             "evacuated": self.server.evacuated,
             "list": backend_list.export(),
@@ -101,8 +110,8 @@
             ),
         }
 
-    def inherit(self, state: dict[str, Any]) -> None:
-        """Begin from what the running process has handed over, before the node starts."""
+    def import_state(self, state: dict[str, Any]) -> None:
+        """Adopt the state that the running process handed over; called before the node starts."""
         node = self.node
         if state.get("evacuated") is True:
             self.server.evacuate()
@@ -110,90 +119,103 @@
         for backend in bans if isinstance(bans, list) else ():
             if isinstance(backend, int):
                 node.balancer.banned.add(backend)
-        self._shares(state.get("held"))
+        self._apply_peer_descriptors(state.get("held"))
 
-        def known() -> list[Listing]:
+        def initial_listings() -> list[Listing]:
             try:
                 return node.discovery.backend_list.adopt(state.get("list"))
             except ValueError as err:
                 node.log(f"the list of the running process is not used: {err}")
                 return node.discovery.load_known_list(node.config.initial_list)
 
-        def recall(balancer: Balancer, now: int) -> None:
-            clock = node.discovery.backend_list.wall_clock_offset_ns
-            restore_learned_state(balancer, now, now + clock, state.get("learnt"))
+        def restore_state(balancer: Balancer, now: int) -> None:
+            offset = node.discovery.backend_list.wall_clock_offset_ns
+            restore_learned_state(balancer, now, now + offset, state.get("learnt"))
 
-        node.known = known  # type: ignore[method-assign]
-        node.restore_state = recall
+        node.initial_listings = initial_listings  # type: ignore[method-assign]
+        node.restore_state = restore_state
 
-    async def succeed(self, path: str, estate: Estate | None) -> None:
-        """Take the place of whoever handed over, if anyone did; then wait for a successor."""
+    async def take_over(self, path: str, handover: Handover | None) -> None:
+        """Take the place of the process that handed over, if any; then wait for a successor."""
         node = self.node
-        if estate is not None:
-            self.line = line = Line(self._heard, self._alone)
-            await node.loop.connect_accepted_socket(lambda: line, estate.line)
-            if estate.rest:
-                line.data_received(estate.rest)
-            line.tell({"serving": True})
-        self.waiting = Waiting(
-            node.loop, path, self.bequeath, self._begun, self._heard, self._alone, node.log
+        if handover is not None:
+            self.peer = peer = PeerConnection(self._on_peer_message, self._on_peer_closed)
+            await node.loop.connect_accepted_socket(lambda: peer, handover.connection)
+            if handover.trailing_bytes:
+                peer.data_received(handover.trailing_bytes)
+            peer.send({"serving": True})
+        self.successor_listener = SuccessorListener(
+            node.loop,
+            path,
+            self.export_state,
+            self._on_successor_connected,
+            self._on_peer_message,
+            self._on_peer_closed,
+            node.log,
         )
-        self._wait()
+        self._listen_for_successor()
 
-    def _wait(self) -> None:
-        assert self.waiting is not None
+    def _listen_for_successor(self) -> None:
+        assert self.successor_listener is not None
         try:
-            self.waiting.listen()
+            self.successor_listener.listen()
         except OSError as err:
-            self.node.log(f"no successor can take over: {err}")
+            self.node.log(f"no successor can take over, listening for one failed: {err}")
 
-    def _begun(self, line: Line) -> None:
-        self.line = line
-        self.older = True
+    def _on_successor_connected(self, peer: PeerConnection) -> None:
+        self.peer = peer
+        self.peer_is_successor = True
 
-    def _heard(self, word: dict[str, Any]) -> None:
-        if word.get("serving") is True and self.older:
+    def _on_peer_message(self, message: dict[str, Any]) -> None:
+        """Act on a message of the other process."""
+        if message.get("serving") is True and self.peer_is_successor:
             self.node.log("a successor takes the clients")
             self.server.hand_over()
-            self._shrink()
-        if "held" in word and not self.older:
-            self._shares(word["held"])
-        if "call" in word:
-            self._passed_on(word["call"])
-
-    def _alone(self) -> None:
-        """The other process has ended."""
-        self.line = None
-        self.node.share(0)
-        if self.older:
-            self.older = False
+            self._shrink_limits()
+        if "held" in message and not self.peer_is_successor:
+            self._apply_peer_descriptors(message["held"])
+        if "call" in message:
+            self._apply_forwarded_call(message["call"])
+
+    def _on_peer_closed(self) -> None:
+        """Continue alone: the other process has ended."""
+        self.peer = None
+        self.node.share_limits(0)
+        if self.peer_is_successor:
+            self.peer_is_successor = False
             if not self.server.stopping:
                 self.node.log("the successor has ended")
                 self.server.undo_hand_over()
-                self._wait()
+                self._listen_for_successor()
 
-    def _held(self) -> int:
+    def _descriptors_in_use(self) -> int:
+        """Return how many descriptors this process needs, with a reserve."""
         node = self.node
         return (
             node.client_count
             + node.upstream.descriptor_count
             + RESERVED_DESCRIPTORS
-            + RESERVED_MGMT
-            + SLACK
+            + RESERVED_MANAGEMENT_DESCRIPTORS
+            + SPARE_DESCRIPTORS
         )
 
-    def _shares(self, held: object) -> None:
-        if isinstance(held, int):
-            self.node.share(held)
+    def _apply_peer_descriptors(self, descriptors: object) -> None:
+        if isinstance(descriptors, int):
+            self.node.share_limits(descriptors)
 
-    def _shrink(self) -> None:
-        """Hold no more than now, and let the successor have the rest."""
+    def _shrink_limits(self) -> None:
+        """Limit this process to the connections that it holds now, and leave the rest to its
+        successor."""
         node = self.node
-        node.share(1)  # that there is another counts for the bytes; descriptors are as follows
-        node.max_connections = node.client_count + node.upstream.descriptor_count + SLACK
-        if self.line is not None:
-            self.line.tell({"held": self._held()})
+        # A count of 1 halves the memory limit; the next statement limits the descriptors.
+        node.share_limits(1)
+        node.max_connections = (
+            node.client_count + node.upstream.descriptor_count + SPARE_DESCRIPTORS
+        )
+        if self.peer is not None:
+            self.peer.send({"held": self._descriptors_in_use()})
 
     def sweep(self) -> None:
-        if self.line is not None and self.older:
-            self._shrink()
+        """Lower this process's limit while its successor serves; called at each sweep."""
+        if self.peer is not None and self.peer_is_successor:
+            self._shrink_limits()
--- a/windrelay/handover.py
+++ b/windrelay/handover.py
@@ -1,24 +1,26 @@
-"""A new version under load: what the running process hands to the one started beside it.
+"""Hand-over under load: what a running process gives to its successor, a new version started beside
+it.
 
-The two share $TMPDIR. The running one waits there at a socket of the file system; the new one
-connects while it starts, and gets
+Both processes share the directory $TMPDIR. The running process listens there on a Unix socket; its
+successor connects while it starts, and receives
 
-- the listening socket itself: one queue for both. With a listener each (SO_REUSEPORT) the kernel
-  deals connections to both by a hash, and what waits at the old one when it closes is reset.
-  That way stays as the fall-back where nobody answers;
-- what the operators have said (bans, evacuation), which holds over an upgrade;
-- the list in hand and what the decision module has learnt.
+- the listening socket itself, so that both processes accept from one queue. With a listener
+  each (SO_REUSEPORT) the kernel distributes connections between them by a hash, and those that
+  still wait in the queue of the old process when it closes are reset. A listener each remains
+  the fall-back where no running process answers;
+- the operators' calls that are in force (bans, evacuation), which outlast an upgrade;
+- the current list of backends and what the decision module has learnt.
 
-The connection then stays open for as long as both live. Calls at either reach both; the old one
-tells how many descriptors it still holds, so that both together stay within the limit; it takes
-clients again where its successor ends before it.
+The connection then stays open while both processes live. A management call at either process
+reaches both. The old process reports how many descriptors it still holds, so that both together
+stay within the limit, and accepts clients again where its successor ends first.
 
     side  line                                         when
     ----  -------------------------------------------  ------------------------------------
     old   {"format": 1, "bans": ..., "list": ..., ..}  first, with the listener
-    old   {"held": 61}                                 each sweep
-    new   {"serving": true}                            once it takes clients
-    both  {"call": ["exclude", "7b1c..."]}             a call was carried out here
+    old   {"held": 61}                                 at each sweep
+    new   {"serving": true}                            once it accepts clients
+    both  {"call": ["exclude", "7b1c..."]}             after a management call at this process
 """
 
 from __future__ import annotations
@@ -35,165 +37,184 @@
 
 from windrelay.config import Address, Config
 
-FORMAT = 1
-CLAIM_S = 1.0  # a running process that does not answer within it is done without
-STATE_MOST = 8 << 20
-LINE_MOST = STATE_MOST
+STATE_FORMAT = 1
+HANDOVER_TIMEOUT_S = 1.0  # a running process that does not answer within this time is ignored
+MAX_STATE_BYTES = 8 << 20
+MAX_LINE_BYTES = MAX_STATE_BYTES
 
 
 @dataclass(frozen=True, slots=True)
-class Estate:
+class Handover:
     """What a running process has handed over; the receiver owns both sockets."""
 
     listener: socket.socket
-    line: socket.socket
+    connection: socket.socket
     state: dict[str, Any]
-    rest: bytes  # what came behind the state already
+    trailing_bytes: bytes  # bytes that came after the state
 
 
-def place(environ: Mapping[str, str], config: Config) -> str | None:
-    """Where a process of this node waits for its successor; None where it can't be told apart.
+def successor_socket_path(environ: Mapping[str, str], config: Config) -> str | None:
+    """Return the path at which a process of this node waits for its successor.
 
-    Only where calls are taken: an upgrade asks the new process by them whether it can serve.
+    None where the node has no directory for it, or accepts no management calls: an upgrade needs
+    those to ask the new process whether it can serve.
     """
-    folder = environ.get("TMPDIR")
-    if not folder or config.mgmt is None:
+    directory = environ.get("TMPDIR")
+    if not directory or config.mgmt is None:
         return None
-    # A node's name and address: others may share the folder.
-    word = blake2b(f"{config.name} {config.listen}".encode(), digest_size=8).hexdigest()
-    return os.path.join(folder, f"windrelay-{word}.sock")
+    # The node's name and address tell it apart from other nodes that share the directory.
+    digest = blake2b(f"{config.name} {config.listen}".encode(), digest_size=8).hexdigest()
+    return os.path.join(directory, f"windrelay-{digest}.sock")
 
 
-class _Folder:
-    """A folder by a number of its own: a path of a socket holds 107 bytes at the most."""
+class _Directory:
+    """A directory opened by descriptor.
+
+    The path of a Unix socket holds at most 107 bytes, so a longer path is reached through
+    /proc/self/fd.
+    """
 
     def __init__(self, path: str) -> None:
-        folder, self.name = os.path.split(path)
-        self._number = os.open(folder, os.O_PATH | os.O_DIRECTORY)
-        self._path = f"/proc/self/fd/{self._number}"
+        directory, self.name = os.path.split(path)
+        self._descriptor = os.open(directory, os.O_PATH | os.O_DIRECTORY)
+        self._path = f"/proc/self/fd/{self._descriptor}"
 
     def path(self, name: str = "") -> str:
         return f"{self._path}/{name or self.name}"
 
-    def __enter__(self) -> _Folder:
+    def __enter__(self) -> _Directory:
         return self
 
     def __exit__(self, *_: object) -> None:
-        os.close(self._number)
+        os.close(self._descriptor)
 
 
-def claim(path: str, listen: Address, log: Callable[[str], None]) -> Estate | None:
-    """Take over from the process that runs; None where none does or it does not answer."""
-    line = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    line.settimeout(CLAIM_S)
-    end = time.monotonic() + CLAIM_S
+def receive_handover(path: str, listen: Address, log: Callable[[str], None]) -> Handover | None:
+    """Take over from the running process.
+
+    Returns None where no process runs, or where it does not answer in time; the latter is logged.
+    """
+    connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    connection.settimeout(HANDOVER_TIMEOUT_S)
+    deadline = time.monotonic() + HANDOVER_TIMEOUT_S
     listeners: list[socket.socket] = []
     try:
-        with _Folder(path) as folder:
-            line.connect(folder.path())
-        data, numbers, _, _ = socket.recv_fds(line, 1, 4)
-        listeners = [socket.socket(fileno=number) for number in numbers]
+        with _Directory(path) as directory:
+            connection.connect(directory.path())
+        data, descriptors, _, _ = socket.recv_fds(connection, 1, 4)
+        listeners = [socket.socket(fileno=descriptor) for descriptor in descriptors]
         buffer = b""
         while data and b"\n" not in buffer:
-            # In all, and not for each piece of what trickles: nobody is served meanwhile.
-            line.settimeout(max(end - time.monotonic(), 0.001))
-            data = line.recv(1 << 16)
+            # The limit is for the whole state and not for each piece of it: no client is served
+            # while a state trickles in.
+            connection.settimeout(max(deadline - time.monotonic(), 0.001))
+            data = connection.recv(1 << 16)
             buffer += data
-            if len(buffer) > STATE_MOST:
-                raise ValueError("the state is too long")
-        first, newline, rest = buffer.partition(b"\n")
-        state = json.loads(first) if newline else None
-        if not isinstance(state, dict) or state.get("format") != FORMAT or len(listeners) != 1:
-            raise ValueError("the running process handed over nothing of use")
+            if len(buffer) > MAX_STATE_BYTES:
+                raise ValueError("the handed-over state exceeds its size limit")
+        state_line, newline, trailing_bytes = buffer.partition(b"\n")
+        state = json.loads(state_line) if newline else None
+        if (
+            not isinstance(state, dict)
+            or state.get("format") != STATE_FORMAT
+            or len(listeners) != 1
+        ):
+            raise ValueError(
+                "the running process handed over no listener, or no state of this format"
+            )
         if listen.port and listeners[0].getsockname() != tuple(listen):
-            raise ValueError(f"its listener is at {listeners[0].getsockname()}")
+            raise ValueError(f"the running process listens at {listeners[0].getsockname()}")
         listeners[0].setblocking(False)
-        line.setblocking(False)
-        return Estate(listeners[0], line, state, rest)
+        connection.setblocking(False)
+        return Handover(listeners[0], connection, state, trailing_bytes)
     except FileNotFoundError:
-        pass  # nobody runs: the usual start
+        pass  # no process of this node is running: an ordinary start
     except (OSError, ValueError) as err:
         log(f"nothing taken over: {err}")
-    line.close()
+    connection.close()
     for sock in listeners:
         sock.close()
     return None
 
 
-class Line(asyncio.Protocol):
-    """The connection between the two processes, from either side."""
+class PeerConnection(asyncio.Protocol):
+    """The connection between the two processes, at either of them; messages are lines of JSON."""
 
-    def __init__(self, heard: Callable[[dict[str, Any]], None], ended: Callable[[], None]) -> None:
-        self._heard = heard
-        self._ended = ended
+    def __init__(
+        self, on_message: Callable[[dict[str, Any]], None], on_closed: Callable[[], None]
+    ) -> None:
+        self._on_message = on_message
+        self._on_closed = on_closed
         self._buffer = b""
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
 
-    def tell(self, word: Mapping[str, Any]) -> None:
+    def send(self, message: Mapping[str, Any]) -> None:
+        """Send a message, unless the connection is closed or closing."""
         if self._transport is not None and not self._transport.is_closing():
-            self._transport.write(json.dumps(word).encode() + b"\n")
+            self._transport.write(json.dumps(message).encode() + b"\n")
 
     def data_received(self, data: bytes) -> None:
         self._buffer += data
         *lines, self._buffer = self._buffer.split(b"\n")
         for line in lines:
             try:
-                word = json.loads(line)
+                message = json.loads(line)
             except ValueError:
                 continue
-            if isinstance(word, dict):
-                self._heard(word)
-        if len(self._buffer) > LINE_MOST:
+            if isinstance(message, dict):
+                self._on_message(message)
+        if len(self._buffer) > MAX_LINE_BYTES:
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        self._ended()
+        self._on_closed()
 
     def close(self) -> None:
         if self._transport is not None:
             self._transport.abort()
 
 
-class Waiting:
-    """The running side: waits for one successor at a time."""
+class SuccessorListener:
+    """The side of the running process: waits for a successor, one at a time."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         path: str,
-        bequeath: Callable[[], tuple[socket.socket, dict[str, Any]]],
-        begun: Callable[[Line], None],
-        heard: Callable[[dict[str, Any]], None],
-        ended: Callable[[], None],
+        export_state: Callable[[], tuple[socket.socket, dict[str, Any]]],
+        on_connected: Callable[[PeerConnection], None],
+        on_message: Callable[[dict[str, Any]], None],
+        on_closed: Callable[[], None],
         log: Callable[[str], None],
     ) -> None:
         self._loop = loop
         self._path = path
-        self._bequeath = bequeath
-        self._begun = begun
-        self._heard = heard
-        self._ended = ended
+        self._export_state = export_state
+        self._on_connected = on_connected
+        self._on_message = on_message
+        self._on_closed = on_closed
         self._log = log
         self._sock: socket.socket | None = None
-        self._heir = False
+        self._has_successor = False
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def listen(self) -> None:
-        """Wait at the path, in place of whoever waited there before. Raises OSError."""
+        """Listen at the path, replacing whichever process listened there before. Raises OSError."""
         self.close()
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         try:
-            with _Folder(self._path) as folder:
-                fresh = f".{folder.name}.{os.getpid()}"
-                sock.bind(folder.path(fresh))
-                os.chmod(folder.path(fresh), 0o600)
+            with _Directory(self._path) as directory:
+                temporary_name = f".{directory.name}.{os.getpid()}"
+                sock.bind(directory.path(temporary_name))
+                os.chmod(directory.path(temporary_name), 0o600)
                 sock.listen(1)
-                # One step: a successor finds the old one's or ours, and never nothing.
-                os.rename(folder.path(fresh), folder.path())
+                # The rename is atomic: a successor finds the old socket or the new one, and never
+                # none.
+                os.rename(directory.path(temporary_name), directory.path())
         except OSError:
             sock.close()
             raise
@@ -210,39 +231,41 @@
         if self._sock is None:
             return
         try:
-            line, _ = self._sock.accept()
+            connection, _ = self._sock.accept()
         except OSError:
             return
-        if self._heir:
+        if self._has_successor:
             self._log("a second successor was turned away")
-            line.close()
+            connection.close()
             return
         try:
-            listener, state = self._bequeath()
-            line.settimeout(CLAIM_S)
-            socket.send_fds(line, [b"L"], [listener.fileno()])
-            line.setblocking(False)
+            listener, state = self._export_state()
+            connection.settimeout(HANDOVER_TIMEOUT_S)
+            socket.send_fds(connection, [b"L"], [listener.fileno()])
+            connection.setblocking(False)
         except OSError as err:
             self._log(f"nothing handed over: {err}")
-            line.close()
+            connection.close()
             return
-        self._heir = True
-        protocol = Line(self._heard, self._gone)
-        task = self._loop.create_task(self._open(line, protocol, state))
+        self._has_successor = True
+        protocol = PeerConnection(self._on_message, self._successor_closed)
+        task = self._loop.create_task(self._connect(connection, protocol, state))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _open(self, sock: socket.socket, line: Line, state: dict[str, Any]) -> None:
+    async def _connect(
+        self, sock: socket.socket, peer: PeerConnection, state: dict[str, Any]
+    ) -> None:
         try:
-            await self._loop.connect_accepted_socket(lambda: line, sock)
+            await self._loop.connect_accepted_socket(lambda: peer, sock)
         except OSError as err:
             self._log(f"nothing handed over: {err}")
             sock.close()
-            self._gone()
+            self._successor_closed()
             return
-        line.tell(state)
-        self._begun(line)
+        peer.send(state)
+        self._on_connected(peer)
 
-    def _gone(self) -> None:
-        self._heir = False
-        self._ended()
+    def _successor_closed(self) -> None:
+        self._has_successor = False
+        self._on_closed()
--- a/windrelay/node.py
+++ b/windrelay/node.py
@@ -1,8 +1,8 @@
-"""The host of one Balancer: its requests, attempts, timers and clock.
+"""The event host of one Balancer: its requests, attempts, timers and clock.
 
-Every event reaches the Balancer from here, and every action starts here. An
-action never calls back: outcomes it causes are queued and told once the
-Balancer has returned. Nothing is decided here.
+The node passes every event to the Balancer and carries out every action that the Balancer asks for.
+An action never calls the Balancer back: the outcomes that it causes are queued and reported once
+the Balancer has returned from the current event. The node itself makes no load balancing decision.
 """
 
 from __future__ import annotations
@@ -26,121 +26,138 @@
 MS = 1_000_000
 SECOND = 1_000_000_000
 
-BACKSTOP = 10 * MS  # past its deadline a request the module forgot is failed
-REARM = 100 * MS  # a timer whose event raised comes again after this long
+# A request that the Balancer left unanswered is failed this long after its deadline.
+OVERDUE_GRACE_NS = 10 * MS
+TIMER_RETRY_NS = 100 * MS  # a Balancer timer whose event raised is called again after this time
 NO_TIMER = 1 << 63
-LOG_LINES = 20  # a second
-RESERVED_DESCRIPTORS = 24  # descriptors for the listener, the loop, discovery and the log
-RESERVED_MGMT = 10  # besides, for calls and for a successor, where calls are taken
-LEAST_SOCKETS = 16  # for clients and servers, however much another process holds
-OVERLAP = 8  # of them, for connections that replace one just given up
-UPSTREAM_PART = 3  # one in so many descriptors is kept for backends
-BASE_MB = 26  # what the program itself takes, where that can't be measured
-LEAST_ROOM = 2 << 20  # for bodies and answers, however small the node
-PURGE = 256  # timers of what has ended, before they are looked for
-
-
-def base_bytes() -> int:
-    """What the process holds now, at its start."""
+MAX_LOG_LINES_PER_S = 20
+RESERVED_DESCRIPTORS = 24  # descriptors for the listener, the event loop, discovery and the log
+# Further descriptors, for management calls and a successor, where the node accepts calls.
+RESERVED_MANAGEMENT_DESCRIPTORS = 10
+MIN_CONNECTIONS = 16  # for clients and backends, however many descriptors another process holds
+# Of RESERVED_DESCRIPTORS, so many may replace connections that are being closed.
+REPLACEMENT_DESCRIPTORS = 8
+BACKEND_DESCRIPTOR_DIVISOR = 3  # one descriptor in three is kept for backends
+DEFAULT_BASE_MB = 26  # base memory of the program, where it can't be measured
+MIN_MESSAGE_BYTES = 2 << 20  # for bodies and answers, however small the node's memory limit
+# Finished timers are removed from the heap once there are more than this.
+MIN_STALE_TIMERS_TO_PURGE = 256
+
+
+def resident_bytes() -> int:
+    """Return this process's resident memory in bytes; DEFAULT_BASE_MB if it can't be read."""
     try:
         with open("/proc/self/statm") as file:
             return int(file.read().split()[1]) * resource.getpagesize()
     except (OSError, ValueError, IndexError):
-        return BASE_MB << 20
+        return DEFAULT_BASE_MB << 20
 
 
 class MemoryBudget:
-    """Bytes of bodies and answers held, over all connections.
+    """The memory limit for the request bodies and answers of all connections of a node.
 
-    Bodies are taken in while they fit; half of what the limit leaves is for them and
-    for answers, the rest for connections and what the allocator does not give back.
+    A body is accepted while it fits. Half of the memory above the base of the process is for bodies
+    and answers; the other half is for connections and for what the allocator does not return to the
+    system.
     """
 
-    __slots__ = ("base", "held_bytes", "limit_bytes")
+    __slots__ = ("base_bytes", "held_bytes", "limit_bytes")
 
     def __init__(self, memory_mb: int) -> None:
-        self.base = base_bytes()
+        self.base_bytes = resident_bytes()
         self.held_bytes = 0
         self.resize(memory_mb)
 
-    def resize(self, memory_mb: int, processes: int = 1) -> None:
-        """Take this node's part of a limit that so many processes like it share."""
-        self.limit_bytes = max(((memory_mb << 20) // processes - self.base) // 2, LEAST_ROOM)
+    def resize(self, memory_mb: int, process_count: int = 1) -> None:
+        """Recompute the limit from the memory limit of the node, which `process_count` processes
+        share."""
+        self.limit_bytes = max(
+            ((memory_mb << 20) // process_count - self.base_bytes) // 2, MIN_MESSAGE_BYTES
+        )
 
     def set_limit(self, limit_bytes: int) -> None:
-        """So many bytes, whatever the process takes: where several nodes share one."""
+        """Set the limit directly, whatever the process itself takes: for a process that hosts
+        several nodes."""
         self.limit_bytes = limit_bytes
 
     def has_room(self, size: int) -> bool:
+        """Return whether `size` more bytes fit within the limit."""
         return self.held_bytes + size <= self.limit_bytes
 
     def reserve(self, size: int) -> None:
+        """Count `size` more bytes as held."""
         self.held_bytes += size
 
     def release(self, size: int) -> None:
+        """Count `size` bytes as no longer held."""
         self.held_bytes -= size
 
 
 class Request:
+    """A client's request from its arrival until it has ended and its last attempt is concluded."""
+
     __slots__ = (
-        "arrived_at", "attempts", "begun", "client", "client_request_id", "deadline", "ended", "id",
-        "incoming", "reserved", "unfinished_attempts",
+        "answer_started", "arrived_at", "attempts", "client", "client_request_id", "deadline",
+        "ended", "id", "incoming", "reserved_bytes", "unfinished_attempts",
     )  # fmt: skip
 
     def __init__(
-        self, rid: int, client: Caller, incoming: ParsedRequest, now: int, left: int
+        self, request_id: int, client: Caller, incoming: ParsedRequest, now: int, remaining: int
     ) -> None:
-        self.id = rid
+        self.id = request_id
         self.client: Caller | None = client
-        self.incoming: Any = incoming  # what only its link reads; None once nothing is out any more
-        self.reserved = incoming.reserved_bytes
+        # The message, which only the link of its protocol reads; None once no attempt is left
+        self.incoming: Any = incoming
+        self.reserved_bytes = incoming.reserved_bytes
         self.client_request_id = incoming.request_id
         self.arrived_at = now
-        self.deadline = now + left
+        self.deadline = now + remaining
         self.attempts: list[Attempt] = []
         self.unfinished_attempts = 0
-        self.begun = False  # an answer is on its way to the client
+        self.answer_started = False  # an answer is being streamed to the client
         self.ended = False
 
 
 class Attempt:
-    """One send, or a probe where `request` is None. It has exactly one outcome.
+    """One send of a request to a backend, or a health probe where `request` is None.
 
-    From `begun` on its answer is passed on as it comes: it is the request's one answer, no
-    time limit ends it any more, and what it took is the time to its beginning.
+    An attempt has exactly one outcome. Once `answer_started_at` is set, the answer is streamed to
+    the client: it is the request's only answer, no time-out ends the attempt any more, and the
+    latency reported for it is the time to the start of the answer.
     """
 
     __slots__ = (
+        "answer_started_at",
         "backend",
-        "begun",
         "concluded",
         "connection",
-        "timeout",
         "number",
         "request",
         "sent_at",
+        "timeout",
     )
 
-    def __init__(self, request: Request | None, number: int, backend: int, sent: int) -> None:
+    def __init__(self, request: Request | None, number: int, backend: int, sent_at: int) -> None:
         self.request = request
         self.number = number
         self.backend = backend
-        self.sent_at = sent
+        self.sent_at = sent_at
         self.timeout = 0
         self.concluded = False
-        self.begun = 0
+        self.answer_started_at = 0
         self.connection: AttemptHandle | None = None
 
 
-def is_over(item: int | Attempt | Request) -> bool:
-    """Whether a timer would find nothing to do any more."""
+def is_finished(item: int | Attempt | Request) -> bool:
+    """Return whether a timer for this item would find nothing to do any more."""
     if isinstance(item, int):
         return False
     return item.concluded if isinstance(item, Attempt) else item.ended
 
 
 class Node:
-    """Implements flinthatch.Actions; whoever makes one gives it its link and its members."""
+    """Implements flinthatch.Actions. Whoever creates a node sets its `upstream` and its
+    `discovery`."""
 
     upstream: ConnectionPool
     discovery: MemberSource
@@ -151,37 +168,39 @@
         self.now = time.monotonic_ns()
         self.budget = MemoryBudget(config.memory_mb)
         self.client_count = 0
-        # The server's, once it listens.
+        # Called when a descriptor has been closed; the server sets it once it listens.
         self.on_descriptor_freed: Callable[[], None] = lambda: None
-        # What an installation with a lasting disk recalls into the module at the start.
+        # Restores saved health data into the Balancer at the start, where the installation has
+        # persistent storage.
         self.restore_state: Callable[[Balancer, int], None] = lambda _balancer, _now: None
         self.evict: Callable[[], bool] = lambda: False
-        self.elsewhere = 0  # descriptors that another process of this node holds
+        self.other_process_descriptors = 0  # descriptors that another process of this node holds
         self.max_connections = self.compute_max_connections()
         self.requests: dict[int, Request] = {}
-        # The clients' ids: of requests open here, and of those that ended lately.
-        self.names: set[bytes] = set()
-        self.ended_names: set[bytes] = set()
-        self.older_names: set[bytes] = set()
-        self.names_turned = 0
+        # The client's ids of open requests, and of those that ended in the last one or two seconds.
+        self.open_request_ids: set[bytes] = set()
+        self.recent_request_ids: set[bytes] = set()
+        self.older_request_ids: set[bytes] = set()
+        self.ids_rotated_at = 0
         self.open_request_count = 0
         self.last_request_id = 0
         self.in_event = False
-        self.outcomes: deque[tuple[Attempt, Outcome, int, Sequence[float]]] = deque()
+        self.pending_outcomes: deque[tuple[Attempt, Outcome, int, Sequence[float]]] = deque()
         self.timers: list[tuple[int, int, int | Attempt | Request]] = []
-        self.timer_count = 0
-        self.dead_timers = 0
+        self.timer_sequence = 0
+        self.stale_timer_count = 0
         self.loop_timer: asyncio.TimerHandle | None = None
-        self.armed = NO_TIMER
+        self.armed_for = NO_TIMER
         self.log_second = 0
-        self.log_lines = 0
-        self.unexpected_error_count = 0  # exceptions that nobody foresaw
-        loop.set_exception_handler(self.loop_failed)
+        self.log_line_count = 0
+        self.unexpected_error_count = 0  # exceptions that no code handles
+        loop.set_exception_handler(self.on_loop_error)
         self.balancer = Balancer(config.settings, config.seed, self)
 
     def start(self) -> None:
-        """Begin from the list in the configuration; ListError if it is malformed."""
-        rows = self.known()
+        """Start the Balancer from the configured list of backends. Raises ListError if the list is
+        malformed."""
+        rows = self.initial_listings()
         self.begin_event()
         try:
             self.balancer.start(self.now)
@@ -190,71 +209,74 @@
         finally:
             self.end_event()
 
-    def known(self) -> list[Listing]:
+    def initial_listings(self) -> list[Listing]:
+        """Return the backends that the node starts with: those of the configuration."""
         return self.discovery.load_known_list(self.config.initial_list)
 
     def reload(self, config: Config) -> dict[str, int]:
-        """Go on under a new configuration; returns the numbers of its classes by name.
+        """Switch to a new configuration; returns the numbers of its classes by name.
 
-        ValueError, and nothing has changed, where it can't be taken over in a running node.
+        Raises ValueError, and changes nothing, where a running node can't adopt the configuration.
         """
         if config.zones != self.config.zones:
-            # The list's rows are read by the names of the start.
+            # Rows of the list are parsed with the zone names of the start.
             raise ValueError("areas can change only at a start")
         numbers = self.update_settings(config.settings)
         self.config = config
-        self.share(self.elsewhere)
+        self.share_limits(self.other_process_descriptors)
         self.discovery.change_address(config.discovery)
         return numbers
 
     def update_settings(self, settings: Settings) -> dict[str, int]:
-        """Other classes, rules and limits for what comes; see `reconfigure`."""
+        """Apply other classes, rules and limits to later requests; `reconfigure` says what holds
+        for open ones."""
         now = self.begin_event()
         try:
             return reconfigure(self.balancer, now, settings)
         finally:
             self.end_event()
 
-    # ---- events: each enters, tells the Balancer, and leaves -----------
+    # ---- events: each calls begin_event, the Balancer, and end_event ---
 
     def begin_event(self) -> int:
+        """Enter an event: set the node's clock and return it, in nanoseconds."""
         self.in_event = True
         self.now = now = time.monotonic_ns()
         return now
 
     def end_event(self) -> None:
-        """Tell the outcomes that came up meanwhile, then set the timer anew.
+        """Report the outcomes that came up during the event, then arm the loop's timer again.
 
-        Left out once, no outcome would be told and no timer set any more: each event
-        leaves, whatever was raised within it.
+        Every event ends with this call, whatever was raised within it: after one omission no
+        outcome would be reported and no timer armed any more.
         """
-        outcomes = self.outcomes
+        outcomes = self.pending_outcomes
         while outcomes:
-            self.tell(*outcomes.popleft())
+            self.report_outcome(*outcomes.popleft())
         self.in_event = False
         timers = self.timers
-        if timers and timers[0][0] < self.armed:
+        if timers and timers[0][0] < self.armed_for:
             self.arm(timers[0][0])
 
     def start_request(self, client: Caller, incoming: ParsedRequest, waited: int) -> Request | None:
-        """Take a client's request; None where as many are open as the settings allow."""
+        """Accept a client's request; returns None where `max_open_requests` are open already."""
         if self.open_request_count >= self.config.max_open_requests:
             return None
         now = self.begin_event()
         self.last_request_id += 1
-        rid = self.last_request_id
-        left = incoming.timeout_ns - waited
-        r = Request(rid, client, incoming, now, left)
-        self.requests[rid] = r
-        self.names.add(r.client_request_id)
+        request_id = self.last_request_id
+        remaining = incoming.timeout_ns - waited
+        request = Request(request_id, client, incoming, now, remaining)
+        self.requests[request_id] = request
+        self.open_request_ids.add(request.client_request_id)
         self.open_request_count += 1
-        self.schedule(r.deadline + BACKSTOP, r)
+        self.schedule(request.deadline + OVERDUE_GRACE_NS, request)
         try:
             self.balancer.on_request(
                 now,
-                rid,
+                request_id,
                 incoming.class_number,
-                left,
+                remaining,
                 incoming.tenant,
                 incoming.key,
                 incoming.cost_hint,
@@ -262,379 +284,471 @@
                 waited,
             )
         except Exception:
-            self.broken()
-            if not r.unfinished_attempts:
-                self.fail_at_once(r)
+            self.record_event_error()
+            if not request.unfinished_attempts:
+                self.fail_at_once(request)
         finally:
             self.end_event()
-        return r
+        return request
 
-    def is_repeated(self, name: bytes) -> bool:
-        """Whether a request with this id is open, or was a second or two ago.
+    def is_repeated(self, request_id: bytes) -> bool:
+        """Return whether a request with this id is open, or was open one or two seconds ago.
 
-        Ids are new with every request, a client's retry too. A second one is a copy, or
-        somebody else's: served, it could run an effect twice. The answer to the first
-        may cross it, hence the second or two. It could harm a client that asks again
-        under its old id after its connection broke within an answer.
+        Every request has a new id, a client's retry too. A second request with the same id is a
+        copy, or comes from another client: serving it could run a side effect twice. Ids are
+        remembered for a second or two after the end of a request because the copy may cross the
+        answer to the first. The rule may harm a client that repeats a request under its old id
+        after its connection broke within an answer.
         """
-        return name in self.names or name in self.ended_names or name in self.older_names
+        return (
+            request_id in self.open_request_ids
+            or request_id in self.recent_request_ids
+            or request_id in self.older_request_ids
+        )
 
-    # ---- an operator's word on a backend ------------------------------
+    # ---- an operator's calls about a backend --------------------------
 
     def exclude(self, backend: int) -> None:
-        """Begin nothing new there from this moment on, whatever the list says."""
+        """Start no new attempt at a backend from this moment on, whatever the list of backends
+        says."""
         self.begin_event()
         try:
             self.balancer.ban(self.now, backend)
             self.upstream.drain_backend(backend)
         except Exception:
-            self.broken()
+            self.record_event_error()
         finally:
             self.end_event()
 
     def include(self, backend: int) -> None:
+        """Use an excluded backend again."""
         self.begin_event()
         try:
             self.balancer.lift_ban(self.now, backend)
         except Exception:
-            self.broken()
+            self.record_event_error()
         finally:
             self.end_event()
 
-    def client_gone(self, r: Request) -> None:
-        """The client left: nothing more is owed, attempts go on to their outcomes."""
-        if r.ended:
+    def client_gone(self, request: Request) -> None:
+        """The client has disconnected: no answer is owed any more, and attempts run on to their
+        outcomes."""
+        if request.ended:
             return
         now = self.begin_event()
         try:
-            self.end(r)
-            self.balancer.on_client_gone(now, r.id)
+            self.end_request(request)
+            self.balancer.on_client_gone(now, request.id)
         except Exception:
-            self.broken()
+            self.record_event_error()
         finally:
             self.end_event()
 
-    def client_half_closed(self, r: Request) -> None:
-        """The client has ended its sending: it may be gone, and it may still read an answer."""
-        if r.ended:
+    def client_half_closed(self, request: Request) -> None:
+        """Tell the Balancer that the client has closed its sending side.
+
+        The client may be gone, or may still read an answer.
+        """
+        if request.ended:
             return
         now = self.begin_event()
         try:
-            self.balancer.on_client_half_closed(now, r.id)
+            self.balancer.on_client_half_closed(now, request.id)
         except Exception:
-            self.broken()
+            self.record_event_error()
         finally:
             self.end_event()
 
-    def may_begin(self, a: Attempt) -> bool:
-        """Whether an attempt whose last byte is about to leave may still do so: its connection
-        took a while to come up, or to take what is ahead of that byte."""
-        r = a.request
-        if r is None:
+    def may_begin(self, attempt: Attempt) -> bool:
+        """Return whether an attempt may still write the last byte of its request.
+
+        It is asked where the connection took a while to be established, or to take the bytes before
+        that one.
+        """
+        request = attempt.request
+        if request is None:
             return True
-        return not r.ended and self.balancer.may_start_attempt(time.monotonic_ns(), r.id, a.number)
+        return not request.ended and self.balancer.may_start_attempt(
+            time.monotonic_ns(), request.id, attempt.number
+        )
 
     def apply_member_update(self, update: Update, rows: list[Listing], stale: list[int]) -> None:
+        """Apply an update of the list of backends.
+
+        `stale` names the backends whose connections must not carry a new attempt.
+        """
         now = self.begin_event()
         try:
             for backend in stale:
-                # Dials too: with a longer dial time-out than the grace for drains, what
-                # they carry would begin after it.
+                # Connection attempts are withdrawn too: with a connect time-out longer than the
+                # drain grace, their requests would start after the grace.
                 self.upstream.drain_backend(backend)
             self.balancer.on_backend_list(now, update, rows)
         except Exception:
-            self.broken()
+            self.record_event_error()
         finally:
             self.end_event()
 
-    def begin_answer(self, a: Attempt) -> None:
-        """An attempt's answer is passed on from here on, see Attempt; `conclude` ends it."""
-        r = a.request
-        assert r is not None
-        inside = self.in_event
-        now = self.now if inside else self.begin_event()
-        a.begun = now
-        r.begun = True
+    def begin_answer(self, attempt: Attempt) -> None:
+        """Note that an attempt's answer is streamed to the client from now on; see Attempt.
+
+        `conclude` ends it.
+        """
+        request = attempt.request
+        assert request is not None
+        nested = self.in_event
+        now = self.now if nested else self.begin_event()
+        attempt.answer_started_at = now
+        request.answer_started = True
         try:
-            self.balancer.on_response_started(now, r.id, a.number, now - a.sent_at)
+            self.balancer.on_response_started(
+                now, request.id, attempt.number, now - attempt.sent_at
+            )
         except Exception:
-            self.broken()
+            self.record_event_error()
         finally:
-            if not inside:
+            if not nested:
                 self.end_event()
 
-    def conclude(self, a: Attempt, outcome: Outcome, load: Sequence[float] = ()) -> None:
+    def conclude(self, attempt: Attempt, outcome: Outcome, load: Sequence[float] = ()) -> None:
         """Settle an attempt's one outcome; the Balancer is told after the current event."""
-        if a.concluded:
+        if attempt.concluded:
             return
-        a.concluded = True
-        a.connection = None
-        inside = self.in_event
-        now = self.now if inside else self.begin_event()
-        r = a.request
-        self.outcomes.append((a, outcome, (a.begun or now) - a.sent_at, load))
+        attempt.concluded = True
+        attempt.connection = None
+        nested = self.in_event
+        now = self.now if nested else self.begin_event()
+        request = attempt.request
+        self.pending_outcomes.append(
+            (attempt, outcome, (attempt.answer_started_at or now) - attempt.sent_at, load)
+        )
         try:
-            if r is not None and (a.begun or outcome == Outcome.OK) and not r.ended:
-                self.end(r)
+            if (
+                request is not None
+                and (attempt.answer_started_at or outcome == Outcome.OK)
+                and not request.ended
+            ):
+                self.end_request(request)
         finally:
-            if not inside:
+            if not nested:
                 self.end_event()
 
-    def tell(self, a: Attempt, outcome: Outcome, taken: int, load: Sequence[float]) -> None:
-        r = a.request
+    def report_outcome(
+        self, attempt: Attempt, outcome: Outcome, duration: int, load: Sequence[float]
+    ) -> None:
+        """Report an attempt's outcome to the Balancer; `duration` is in nanoseconds."""
+        request = attempt.request
         try:
-            if r is None:
-                self.balancer.on_probe(self.now, a.backend, outcome, taken, load)
+            if request is None:
+                self.balancer.on_probe(self.now, attempt.backend, outcome, duration, load)
                 return
-            r.unfinished_attempts -= 1
-            self.balancer.on_outcome(self.now, r.id, a.number, outcome, taken, r.ended, load)
+            request.unfinished_attempts -= 1
+            self.balancer.on_outcome(
+                self.now, request.id, attempt.number, outcome, duration, request.ended, load
+            )
         except Exception:
-            self.broken()
-            if r is not None and not r.unfinished_attempts:
-                self.fail_at_once(r)
-        if r is not None:
-            self.forget(r)
+            self.record_event_error()
+            if request is not None and not request.unfinished_attempts:
+                self.fail_at_once(request)
+        if request is not None:
+            self.drop_if_finished(request)
 
     # ---- requests -----------------------------------------------------
 
-    def end(self, r: Request) -> None:
-        r.ended = True
-        r.client = None
+    def end_request(self, request: Request) -> None:
+        """Mark a request as ended: its client is owed nothing more."""
+        request.ended = True
+        request.client = None
         self.open_request_count -= 1
-        self.forget(r)
-
-    def forget(self, r: Request) -> None:
-        """Drop a request that has ended and has nothing out any more."""
-        if r.ended and not r.unfinished_attempts and self.requests.pop(r.id, None) is not None:
-            self.names.discard(r.client_request_id)
-            self.ended_names.add(r.client_request_id)
-            self.dead_timers += 1 + len(r.attempts)
-            # Its timers hold it for up to its deadline, and it them in a ring.
-            r.incoming = None
-            r.attempts = []
-            self.budget.release(r.reserved)
-
-    def fail_at_once(self, r: Request, late: bool = False) -> None:
+        self.drop_if_finished(request)
+
+    def drop_if_finished(self, request: Request) -> None:
+        """Forget a request that has ended and has no unfinished attempt."""
+        if (
+            request.ended
+            and not request.unfinished_attempts
+            and self.requests.pop(request.id, None) is not None
+        ):
+            self.open_request_ids.discard(request.client_request_id)
+            self.recent_request_ids.add(request.client_request_id)
+            self.stale_timer_count += 1 + len(request.attempts)
+            # The timers refer to the request until its deadline and the request to its attempts:
+            # clearing them breaks the reference cycle and frees the message at once.
+            request.incoming = None
+            request.attempts = []
+            self.budget.release(request.reserved_bytes)
+
+    def fail_at_once(self, request: Request, late: bool = False) -> None:
         """Give a request its final answer: failed."""
-        if r.ended:
+        if request.ended:
             return
-        client = r.client
-        self.end(r)
+        client = request.client
+        self.end_request(request)
         if client is not None:
-            if r.begun:
+            if request.answer_started:
                 client.abort_stream()  # type: ignore[attr-defined]  # only a StreamingCaller began
             else:
                 client.fail(late)
 
     def fail_all(self) -> None:
-        """At the very end of a stop: whatever is still held gets its answer."""
-        for r in list(self.requests.values()):
-            self.fail_at_once(r)
+        """Fail every request that is still open; called at the very end of a stop."""
+        for request in list(self.requests.values()):
+            self.fail_at_once(request)
 
     # ---- actions ------------------------------------------------------
 
     def send(self, request: int, backend: int, timeout: int) -> None:
-        r = self.requests.get(request)
-        if r is None:
-            self.log(f"send for request {request}, which is not open")
+        """Start an attempt of a request at a backend; `timeout` is in nanoseconds, 0 for the
+        request's deadline."""
+        open_request = self.requests.get(request)
+        if open_request is None:
+            self.log(f"attempt not sent: request {request} is not open")
             return
         now = self.now
-        a = Attempt(r, len(r.attempts), backend, now)
-        r.attempts.append(a)
-        r.unfinished_attempts += 1
-        left = r.deadline - now
-        limit = min(timeout, left) if timeout else left
-        if r.ended or left <= 0 or len(r.attempts) > self.config.settings.max_attempts:
-            self.conclude(a, Outcome.NOT_SENT)
-        elif limit <= 0:
-            self.conclude(a, Outcome.TIMEOUT)
+        attempt = Attempt(open_request, len(open_request.attempts), backend, now)
+        open_request.attempts.append(attempt)
+        open_request.unfinished_attempts += 1
+        remaining = open_request.deadline - now
+        attempt_timeout = min(timeout, remaining) if timeout else remaining
+        if (
+            open_request.ended
+            or remaining <= 0
+            or len(open_request.attempts) > self.config.settings.max_attempts
+        ):
+            self.conclude(attempt, Outcome.NOT_SENT)
+        elif attempt_timeout <= 0:
+            self.conclude(attempt, Outcome.TIMEOUT)
         else:
-            a.timeout = limit
-            self.schedule(now + limit, a)
-            self.carry(a)
+            attempt.timeout = attempt_timeout
+            self.schedule(now + attempt_timeout, attempt)
+            self.start_attempt(attempt)
 
     def refuse(self, request: int, retry_after: int) -> None:
-        r = self.requests.get(request)
-        if r is None or r.ended or r.begun:
+        """Refuse a request; the client may retry after `retry_after` nanoseconds."""
+        open_request = self.requests.get(request)
+        if open_request is None or open_request.ended or open_request.answer_started:
             return
-        client = r.client
-        self.end(r)
+        client = open_request.client
+        self.end_request(open_request)
         if client is not None:
             client.refuse(retry_after)
 
     def fail(self, request: int) -> None:
-        r = self.requests.get(request)
-        if r is not None and not r.begun:
-            self.fail_at_once(r)
+        """Fail a request whose answer has not started."""
+        open_request = self.requests.get(request)
+        if open_request is not None and not open_request.answer_started:
+            self.fail_at_once(open_request)
 
     def cancel(self, request: int, attempt: int) -> None:
-        r = self.requests.get(request)
-        if r is not None and 0 <= attempt < len(r.attempts) and not r.attempts[attempt].begun:
-            self.give_up(r.attempts[attempt], Outcome.CANCELLED)
+        """Cancel an attempt whose answer has not started."""
+        open_request = self.requests.get(request)
+        if (
+            open_request is not None
+            and 0 <= attempt < len(open_request.attempts)
+            and not open_request.attempts[attempt].answer_started_at
+        ):
+            self.give_up(open_request.attempts[attempt], Outcome.CANCELLED)
 
     def probe(self, backend: int) -> None:
+        """Start a health probe of a backend."""
         now = self.now
-        a = Attempt(None, 0, backend, now)
-        a.timeout = 2 * self.config.settings.connect_timeout
-        self.schedule(now + a.timeout, a)
-        self.carry(a)
-
-    def carry(self, a: Attempt) -> None:
-        """Begin an attempt; whatever is raised there is its outcome, never the module's."""
+        attempt = Attempt(None, 0, backend, now)
+        attempt.timeout = 2 * self.config.settings.connect_timeout
+        self.schedule(now + attempt.timeout, attempt)
+        self.start_attempt(attempt)
+
+    def start_attempt(self, attempt: Attempt) -> None:
+        """Start an attempt. An exception raised here becomes the attempt's outcome and never
+        reaches the Balancer."""
         try:
-            self.upstream.send(a)
+            self.upstream.send(attempt)
         except Exception as err:
-            self.record_error("a send", err)
-            self.give_up(a, Outcome.RESET)
+            self.record_error("sending an attempt", err)
+            self.give_up(attempt, Outcome.RESET)
 
     def watch(self) -> None:
+        """Watch the list of backends for changes."""
         self.discovery.watch()
 
     def fetch(self) -> None:
+        """Fetch the whole list of backends."""
         self.discovery.fetch()
 
     def set_timer(self, token: int, due: int) -> None:
+        """Call the Balancer's `on_timer` with `token` at `due`, in nanoseconds of the monotonic
+        clock."""
         self.schedule(due, token)
 
     def log(self, text: str) -> None:
-        """A line on standard error; past LOG_LINES a second lines are dropped."""
+        """Write a line to standard error; past MAX_LOG_LINES_PER_S lines a second, further ones are
+        dropped."""
         second = time.monotonic_ns() // SECOND
         if second != self.log_second:
             self.log_second = second
-            self.log_lines = 0
-        self.log_lines += 1
-        if self.log_lines <= LOG_LINES:
-            # Nobody may be left to read it; that must not cost the event it tells of.
+            self.log_line_count = 0
+        self.log_line_count += 1
+        if self.log_line_count <= MAX_LOG_LINES_PER_S:
+            # Standard error may have no reader left; that must not fail the event that is logged.
             with contextlib.suppress(OSError, ValueError):
                 print(f"{self.config.name}: {text}", file=sys.stderr, flush=True)
 
     # ---- time ---------------------------------------------------------
 
     def schedule(self, due: int, item: int | Attempt | Request) -> None:
-        """One heap for all timers, and one timer of the loop: most are never due."""
-        self.timer_count += 1
-        heappush(self.timers, (due, self.timer_count, item))
-        if not self.in_event and due < self.armed:
+        """Add an entry to the timer heap.
+
+        All timers share one heap and one timer of the event loop, because most of them are never
+        due.
+        """
+        self.timer_sequence += 1
+        heappush(self.timers, (due, self.timer_sequence, item))
+        if not self.in_event and due < self.armed_for:
             self.arm(due)
 
     def arm(self, due: int) -> None:
+        """Set the loop's one timer to `due`, in nanoseconds of the monotonic clock."""
         if self.loop_timer is not None:
             self.loop_timer.cancel()
-        self.armed = due
-        # The loop rounds to whole milliseconds; an early call would only come again.
+        self.armed_for = due
+        # The loop rounds to whole milliseconds; a call before the due time would only be scheduled
+        # again.
         delay = max(due - time.monotonic_ns(), 0) / SECOND + 0.0005
-        self.loop_timer = self.loop.call_later(delay, self.tick)
+        self.loop_timer = self.loop.call_later(delay, self.run_due_timers)
 
-    def tick(self) -> None:
+    def run_due_timers(self) -> None:
+        """Handle every timer that is due, as one event."""
         self.loop_timer = None
-        self.armed = NO_TIMER
+        self.armed_for = NO_TIMER
         now = self.begin_event()
         timers = self.timers
         try:
             while timers and timers[0][0] <= now:
                 item = heappop(timers)[2]
                 try:
-                    self.due(now, item)
+                    self.handle_due(now, item)
                 except Exception:
-                    self.broken()
+                    self.record_event_error()
                     if isinstance(item, int):
-                        # The module sets its next timer in this event: without one
-                        # from here it would never be called again.
-                        self.schedule(now + REARM, item)
+                        # The Balancer sets its next timer within this event: unless the timer is
+                        # scheduled again here, the Balancer would never be called again.
+                        self.schedule(now + TIMER_RETRY_NS, item)
         finally:
             self.end_event()
 
-    def due(self, now: int, item: int | Attempt | Request) -> None:
+    def handle_due(self, now: int, item: int | Attempt | Request) -> None:
+        """Handle a due timer: a Balancer token, an attempt's time-out or a request's deadline."""
         if isinstance(item, int):
             self.balancer.on_timer(now, item)
         elif isinstance(item, Attempt):
-            if not item.concluded and not item.begun:
+            if not item.concluded and not item.answer_started_at:
                 self.give_up(item, Outcome.TIMEOUT)
-        elif not item.ended and not item.begun:
-            self.overdue(item)
+        elif not item.ended and not item.answer_started:
+            self.fail_overdue(item)
 
-    def give_up(self, a: Attempt, outcome: Outcome) -> None:
-        """Stop waiting. Where not all of the request was written it never ran."""
-        if a.concluded:
+    def give_up(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Stop waiting for an attempt.
+
+        Where its request was not written completely, the request never ran, and the outcome is
+        NOT_SENT.
+        """
+        if attempt.concluded:
             return
-        connection = a.connection
+        connection = attempt.connection
         if connection is not None and not connection.abandon():
             outcome = Outcome.NOT_SENT
-        self.conclude(a, outcome)
+        self.conclude(attempt, outcome)
 
-    def overdue(self, r: Request) -> None:
-        """The module owed an answer and gave none; the client must not be left waiting."""
-        self.log(f"request {r.id} was overdue")
-        self.fail_at_once(r, late=True)
-        self.balancer.on_client_gone(self.now, r.id)
+    def fail_overdue(self, request: Request) -> None:
+        """Fail a request that the Balancer has left unanswered past its deadline.
 
-    # ---- faults of our own ---------------------------------------------
+        The client must not be left waiting.
+        """
+        self.log(f"request {request.id} was overdue")
+        self.fail_at_once(request, late=True)
+        self.balancer.on_client_gone(self.now, request.id)
+
+    # ---- unexpected exceptions -----------------------------------------
 
-    def broken(self) -> None:
-        """The event in hand raised: count it and say where."""
+    def record_event_error(self) -> None:
+        """Count and log the exception that the current event raised."""
         self.unexpected_error_count += 1
         self.log("an event raised: " + traceback.format_exc(limit=-4))
 
     def record_error(self, where: str, error: BaseException) -> None:
-        """Count and log an exception that nobody foresaw; its connection is the caller's."""
+        """Count and log an unexpected exception; closing the connection that it hit is left to the
+        caller."""
         self.unexpected_error_count += 1
         text = "".join(traceback.format_exception(error, limit=-4))
         self.log(f"{where} raised ({self.unexpected_error_count} so far): {text}")
 
-    def loop_failed(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """The loop's own last word on a callback that raised, whatever it belonged to."""
+    def on_loop_error(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Record an exception that the event loop caught in a callback, and abort the transport it
+        concerns."""
         error = context.get("exception")
         transport = context.get("transport")
         if isinstance(error, BaseException):
             self.record_error(str(context.get("message", "a callback")), error)
         else:
             self.unexpected_error_count += 1
-            self.log(f"the loop: {context.get('message')}")
-        abort = getattr(transport, "abort", None)  # uvloop's are no asyncio.Transport
+            self.log(f"event loop error: {context.get('message')}")
+        abort = getattr(transport, "abort", None)  # uvloop's transports are no asyncio.Transport
         if abort is not None:
             abort()
 
     def sweep(self) -> None:
+        """Do the periodic upkeep: idle connections, remembered request ids and stale timers."""
         now = time.monotonic_ns()
         self.upstream.sweep(now)
-        if now - self.names_turned > SECOND:
-            self.names_turned = now
-            self.older_names = self.ended_names
-            self.ended_names = set()
-        if self.dead_timers > PURGE and 2 * self.dead_timers > len(self.timers):
-            self.dead_timers = 0
-            self.timers = [timer for timer in self.timers if not is_over(timer[2])]
+        if now - self.ids_rotated_at > SECOND:
+            self.ids_rotated_at = now
+            self.older_request_ids = self.recent_request_ids
+            self.recent_request_ids = set()
+        if self.stale_timer_count > MIN_STALE_TIMERS_TO_PURGE and 2 * self.stale_timer_count > len(
+            self.timers
+        ):
+            self.stale_timer_count = 0
+            self.timers = [timer for timer in self.timers if not is_finished(timer[2])]
             heapify(self.timers)
 
     # ---- descriptors --------------------------------------------------
 
     def compute_max_connections(self) -> int:
-        """Descriptors for clients and servers."""
-        reserved = RESERVED_DESCRIPTORS + (RESERVED_MGMT if self.config.mgmt is not None else 0)
-        own = self.config.max_descriptors - reserved
-        return max(own - self.elsewhere, LEAST_SOCKETS) if self.elsewhere else own
-
-    def share(self, elsewhere: int) -> None:
-        """Go on beside another process of this node, which holds so many descriptors; 0: alone."""
-        self.elsewhere = elsewhere
+        """Return how many descriptors are available for clients and backends."""
+        reserved = RESERVED_DESCRIPTORS + (
+            RESERVED_MANAGEMENT_DESCRIPTORS if self.config.mgmt is not None else 0
+        )
+        available = self.config.max_descriptors - reserved
+        return (
+            max(available - self.other_process_descriptors, MIN_CONNECTIONS)
+            if self.other_process_descriptors
+            else available
+        )
+
+    def share_limits(self, other_process_descriptors: int) -> None:
+        """Share the limits with another process of this node, which holds this many descriptors.
+
+        0 means that this process is alone.
+        """
+        self.other_process_descriptors = other_process_descriptors
         self.max_connections = self.compute_max_connections()
-        self.budget.resize(self.config.memory_mb, 2 if elsewhere else 1)
+        self.budget.resize(self.config.memory_mb, 2 if other_process_descriptors else 1)
 
     def has_room_for_client(self) -> bool:
-        """Whether one more client fits, leaving backends their part."""
+        """Return whether one more client fits while backends keep their part of the descriptors."""
         used = self.client_count + self.upstream.descriptor_count
-        most = self.max_connections - max(
-            self.max_connections // UPSTREAM_PART - self.upstream.descriptor_count, 0
+        max_clients = self.max_connections - max(
+            self.max_connections // BACKEND_DESCRIPTOR_DIVISOR - self.upstream.descriptor_count, 0
         )
-        return used < self.max_connections and self.client_count < most
+        return used < self.max_connections and self.client_count < max_clients
 
     def has_room_for_backend(self) -> bool:
-        """Whether one more connection to a backend fits, giving up an idle one for it."""
+        """Return whether one more connection to a backend fits; closes an idle connection to make
+        room for it."""
         used = self.client_count + self.upstream.descriptor_count
         if used < self.max_connections:
             return True
-        # What is given up is closed with the next turn of the loop: until then
-        # both stand, within what RESERVED leaves.
-        return used < self.max_connections + OVERLAP and (
+        # A connection that is given up is closed in the loop's next iteration: until then both
+        # exist, within RESERVED_DESCRIPTORS.
+        return used < self.max_connections + REPLACEMENT_DESCRIPTORS and (
             self.upstream.close_oldest_idle() or self.evict()
         )
