--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -190,11 +190,11 @@
     with contextlib.ExitStack() as stack:
         socks = [stack.enter_context(listen()) for _ in range(backends)]
         known = roster(*(target(f"s-{i}", s.getsockname()[1]) for i, s in enumerate(socks)))
-        n = stack.enter_context(node(tmp_path, known, mgmt="127.0.0.1:0", **over))
-        assert n.process.stderr is not None
-        line = n.process.stderr.readline()
+        running_node = stack.enter_context(node(tmp_path, known, mgmt="127.0.0.1:0", **over))
+        assert running_node.process.stderr is not None
+        line = running_node.process.stderr.readline()
         assert "calls at" in line, line
-        yield n, socks, int(line.rsplit(":", 1)[1])
+        yield running_node, socks, int(line.rsplit(":", 1)[1])
 
 
 def send_call(port: int, text: str) -> str:
@@ -205,9 +205,9 @@
         return peer.read_to_end().decode()
 
 
-def readiness_status(n: RunningNode) -> str:
+def readiness_status(running_node: RunningNode) -> str:
     """Return the status of a readiness probe."""
-    client = n.connect()
+    client = running_node.connect()
     client.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     status = client.message()[0].split(" ")[1]
     client.close()
@@ -243,9 +243,9 @@
 
 
 def test_an_excluded_backend_gets_no_request_until_it_is_included(tmp_path: Path) -> None:
-    with node_with_calls(tmp_path, backends=2) as (n, socks, port):
+    with node_with_calls(tmp_path, backends=2) as (running_node, socks, port):
         # Each backend has an idle connection.
-        clients = [n.connect() for _ in range(2)]
+        clients = [running_node.connect() for _ in range(2)]
         for client in clients:
             client.send(request())
         peers = [accept(s) for s in socks]
@@ -287,16 +287,16 @@
     monkeypatch.setattr(BackendConnection, "_connect", first_connect_hangs)
     with listen() as one, listen() as other:
         known = roster(*(target(f"s-{i}", s.getsockname()[1]) for i, s in enumerate((one, other))))
-        with in_process_node(tmp_path, known) as i:
+        with in_process_node(tmp_path, known) as in_process:
 
             async def scenario() -> None:
-                port = i.server.listen(i.config.listen)
+                port = in_process.server.listen(in_process.config.listen)
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(request("/credit/1", b"b"))
-                await i.wait_until(lambda: held)
+                await in_process.wait_until(lambda: held)
                 dial = held[0]
-                i.node.exclude(dial.backend)
-                (r,) = i.node.requests.values()
+                in_process.node.exclude(dial.backend)
+                (r,) = in_process.node.requests.values()
                 assert [a.concluded for a in r.attempts] == [True, False]
                 assert r.attempts[1].backend != dial.backend
                 sock = one if one.getsockname()[1] != dial.address.port else other
@@ -307,12 +307,12 @@
                 writer.close()
                 peer.close()
 
-            i.run(scenario())
+            in_process.run(scenario())
 
 
 def test_an_evacuated_node_closes_idle_connections_and_serves_late_requests(tmp_path: Path) -> None:
-    with node_with_calls(tmp_path) as (n, socks, port):
-        resting, busy = n.connect(), n.connect()
+    with node_with_calls(tmp_path) as (running_node, socks, port):
+        resting, busy = running_node.connect(), running_node.connect()
         resting.send(request())
         peer = accept(socks[0])
         peer.message()
@@ -321,10 +321,10 @@
         busy.send(request())
         peer.message()
         assert send_call(port, "evacuate\n") == "done\n"
-        assert readiness_status(n) == "503"
+        assert readiness_status(running_node) == "503"
         assert send_call(port, "readyz\n") == "done\n"  # an evacuated process can serve
         assert resting.read_to_end() == b""
-        late = n.connect()  # the front has not seen the 503 yet
+        late = running_node.connect()  # the front has not seen the 503 yet
         late.send(request("/credit/1", b"b"))
         second = accept(socks[0])
         second.message()
@@ -336,8 +336,8 @@
         assert headers["connection"] == "close" and body == b"late"
         assert busy.read_to_end() == b"" and late.read_to_end() == b""
         assert send_call(port, "activate\n") == "done\n"
-        assert readiness_status(n) == "200"
-        again = n.connect()
+        assert readiness_status(running_node) == "200"
+        again = running_node.connect()
         again.send(request())
         peers = {peer.sock: peer, second.sock: second}
         third = peers[select.select(list(peers), [], [], HANG_TIMEOUT_S)[0][0]]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -41,14 +41,18 @@
 
 
 def test_a_watch_continues_from_each_revision_and_its_changes_apply(tmp_path: Path) -> None:
-    with listen() as disco, listen() as backend, node(tmp_path, roster(), port(disco)) as n:
+    with (
+        listen() as disco,
+        listen() as backend,
+        node(tmp_path, roster(), port(disco)) as running_node,
+    ):
         peer = accept(disco)
         first = peer.message()[0]
         assert first.startswith("GET /registry/instances?from=1&hold_ms=")
         send_list(peer, roster(target("s-1", port(backend)), rev=2, whole=False))
         peer = accept(disco)
         assert "?from=2&" in peer.message()[0]
-        client = n.connect()
+        client = running_node.connect()
         client.send(request())
         server = accept(backend)
         server.message()
@@ -75,7 +79,7 @@
 def test_a_failed_call_keeps_the_list_and_is_repeated(tmp_path: Path, data: bytes) -> None:
     with listen() as disco, listen() as backend:
         known = roster(target("s-1", port(backend)))
-        with node(tmp_path, known, port(disco)) as n:
+        with node(tmp_path, known, port(disco)) as running_node:
             peer = accept(disco)
             peer.message()
             peer.send(data)
@@ -84,7 +88,7 @@
             # After an answer of an older revision the whole list is asked for, see below.
             since = 0 if b'"rev": 0' in data else 1
             assert f"?from={since}&" in again.message()[0]
-            client = n.connect()
+            client = running_node.connect()
             client.send(request())
             accept(backend).message()
 
@@ -96,11 +100,11 @@
     calls ask for the whole list."""
     with listen() as disco, listen() as old, listen() as backend:
         known = roster(target("s-0", port(old)), rev=9)
-        with node(tmp_path, known, port(disco)) as n:
+        with node(tmp_path, known, port(disco)) as running_node:
             for since in ("9", "0", "0"):
                 peer = accept(disco)
                 assert f"?from={since}&" in peer.message()[0]
-                client = n.connect()
+                client = running_node.connect()
                 client.send(request())
                 server = accept(old)  # the registry's older list is not accepted yet
                 server.message()
@@ -108,7 +112,7 @@
                 client.reset()
                 send_list(peer, roster(target("s-1", port(backend)), rev=3, whole=since != "9"))
             assert "?from=3&" in accept(disco).message()[0]
-            client = n.connect()
+            client = running_node.connect()
             client.send(request())
             accept(backend).message()
 
@@ -116,8 +120,8 @@
 def test_a_changed_endpoint_moves_the_traffic(tmp_path: Path) -> None:
     with listen() as disco, listen() as old, listen() as new:
         known = roster(target("s-1", port(old)))
-        with node(tmp_path, known, port(disco)) as n:
-            client = n.connect()
+        with node(tmp_path, known, port(disco)) as running_node:
+            client = running_node.connect()
             client.send(request())
             server = accept(old)
             server.message()
@@ -193,8 +197,8 @@
 def test_a_new_id_at_an_address_in_use_replaces_the_old_id(tmp_path: Path) -> None:
     with listen() as disco, listen() as backend:
         known = roster(target("s-1", port(backend)))
-        with node(tmp_path, known, port(disco)) as n:
-            client = n.connect()
+        with node(tmp_path, known, port(disco)) as running_node:
+            client = running_node.connect()
             client.send(request(rid="a"))
             server = accept(backend)
             server.message()
@@ -223,14 +227,14 @@
 
 
 def test_an_endless_answer_is_given_up_before_it_fills_memory(tmp_path: Path) -> None:
-    with listen() as disco, node(tmp_path, roster(), port(disco)) as n:
+    with listen() as disco, node(tmp_path, roster(), port(disco)) as running_node:
         peer = accept(disco)
         peer.message()
-        before = n.resident_mb()
+        before = running_node.resident_mb()
         with contextlib.suppress(OSError):
             peer.send(b"HTTP/1.1 200 OK\r\nX-Pad: " + bytes(b"p" * (8 << 20)))
         peer.read_to_end()
-        assert n.resident_mb() - before < 16
+        assert running_node.resident_mb() - before < 16
         accept(disco).message()
 
 
@@ -242,16 +246,16 @@
     failure, and comes too late to count."""
     with listen() as old, listen() as new, listen() as one, listen() as two:
         known = roster(target("s-1", port(one)), rev=9)
-        with node(tmp_path, known, port(old)) as n:
+        with node(tmp_path, known, port(old)) as running_node:
             watch = accept(old)
             watch.message()
-            n.reload(discovery=f"127.0.0.1:{port(new)}")
+            running_node.reload(discovery=f"127.0.0.1:{port(new)}")
             peer = accept(new)
             assert peer.message()[0] == "GET /registry/instances HTTP/1.1"
             assert watch.read_to_end() == b""
             send_list(peer, roster(target("s-2", port(two)), rev=2))
             assert "?from=2&" in accept(new).message()[0]
-            client = n.connect()
+            client = running_node.connect()
             client.send(request())
             accept(two).message()
 
@@ -259,9 +263,9 @@
 def test_a_reload_to_a_registry_that_is_not_up_or_sends_a_partial_list(tmp_path: Path) -> None:
     with contextlib.ExitStack() as stack:
         old, new, backend = (stack.enter_context(listen()) for _ in range(3))
-        with node(tmp_path, roster(rev=9), port(old)) as n:
+        with node(tmp_path, roster(rev=9), port(old)) as running_node:
             accept(old).message()
-            n.reload(discovery=f"127.0.0.1:{port(new)}")
+            running_node.reload(discovery=f"127.0.0.1:{port(new)}")
             began = time.monotonic()
             for _ in range(3):
                 accept(new).reset()
@@ -273,32 +277,32 @@
             # A partial list is not accepted as the first one.
             assert "?from" not in peer.message()[0]
             send_list(peer, roster(target("s-1", port(backend)), rev=3))
-            client = n.connect()
+            client = running_node.connect()
             client.send(request())
             accept(backend).message()
 
 
 @pytest.mark.parametrize("text", ["", '{"name": "n0", "disc', "[]", '{"discovery": "nowhere"}'])
 def test_a_reload_of_a_broken_file_changes_nothing(tmp_path: Path, text: str) -> None:
-    with listen() as old, listen() as new, node(tmp_path, roster(rev=9), port(old)) as n:
+    with listen() as old, listen() as new, node(tmp_path, roster(rev=9), port(old)) as running_node:
         peer = accept(old)
         peer.message()
-        whole = n.config_path.read_text()
-        n.reload(text)
+        whole = running_node.config_path.read_text()
+        running_node.reload(text)
         send_list(peer, roster(rev=10, whole=False))
         peer = accept(old)  # the node continues at the old address and revision
         assert "?from=10&" in peer.message()[0]
-        n.config_path.write_text(whole)
-        n.reload(discovery=f"127.0.0.1:{port(new)}")
+        running_node.config_path.write_text(whole)
+        running_node.reload(discovery=f"127.0.0.1:{port(new)}")
         accept(new).message()
 
 
 def test_a_file_written_in_two_halves_is_adopted_without_another_signal(tmp_path: Path) -> None:
-    with listen() as old, listen() as new, node(tmp_path, roster(rev=9), port(old)) as n:
+    with listen() as old, listen() as new, node(tmp_path, roster(rev=9), port(old)) as running_node:
         accept(old).message()
-        whole = n.config_path.read_text().replace(f":{port(old)}", f":{port(new)}")
-        n.reload(whole[:100])
-        n.config_path.write_text(whole)
+        whole = running_node.config_path.read_text().replace(f":{port(old)}", f":{port(new)}")
+        running_node.reload(whole[:100])
+        running_node.config_path.write_text(whole)
         accept(new).message()
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -12,8 +12,11 @@
 
 
 def test_a_request_passes_through_unchanged_and_connections_are_reused(tmp_path: Path) -> None:
-    with listen() as backend, node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as n:
-        client = n.connect()
+    with (
+        listen() as backend,
+        node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as running_node,
+    ):
+        client = running_node.connect()
         client.send(
             request(
                 "/credit/7f3a?x=%20y",
@@ -41,29 +44,32 @@
 
 
 def test_a_readiness_probe_is_answered_and_a_stop_exits_with_status_0(tmp_path: Path) -> None:
-    with node(tmp_path, roster()) as n:
-        client = n.connect()
+    with node(tmp_path, roster()) as running_node:
+        client = running_node.connect()
         client.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         assert client.message()[0] == "HTTP/1.1 200 OK"
-        assert n.stop() == 0
+        assert running_node.stop() == 0
 
 
 def test_a_stop_answers_open_requests_before_the_exit(tmp_path: Path) -> None:
-    with listen() as backend, node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as n:
-        client = n.connect()
+    with (
+        listen() as backend,
+        node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as running_node,
+    ):
+        client = running_node.connect()
         client.send(request())
         peer = accept(backend)
         peer.message()
-        n.process.send_signal(signal.SIGTERM)
-        late = n.connect()  # the listener still accepts connections
+        running_node.process.send_signal(signal.SIGTERM)
+        late = running_node.connect()  # the listener still accepts connections
         late.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         line, headers, _ = late.message()
         assert (line, headers["connection"]) == ("HTTP/1.1 503 Service Unavailable", "close")
-        n.process.send_signal(signal.SIGTERM)
+        running_node.process.send_signal(signal.SIGTERM)
         peer.send(answer(b"served"))
         line, headers, body = client.message()
         assert (line, body, headers["connection"]) == ("HTTP/1.1 200 OK", b"served", "close")
-        assert n.process.wait(20) == 0
+        assert running_node.process.wait(20) == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -112,38 +112,42 @@
 ) -> None:
     """SIGKILL comes after the longest deadline, of which 3 s count at the most."""
     classes = [BALANCE | {"deadline": deadline_s * 1_000_000_000}]
-    with stoppable_run(tmp_path, monkeypatch, settings={"classes": classes}) as s:
+    with stoppable_run(tmp_path, monkeypatch, settings={"classes": classes}) as stopping:
 
         async def scenario() -> None:
-            before = s.loop.time()
-            s.run.stop()
-            assert before + most_s < s.run.stop_deadline < s.loop.time() + most_s + KILL_GRACE_S
+            before = stopping.loop.time()
+            stopping.run.stop()
+            assert (
+                before + most_s
+                < stopping.run.stop_deadline
+                < stopping.loop.time() + most_s + KILL_GRACE_S
+            )
             assert most_s <= MAX_DEADLINE_WAIT_S
-            stop_deadline = s.run.stop_deadline
-            s.run.stop()  # a second stop has no effect
-            assert s.run.stop_deadline == stop_deadline
+            stop_deadline = stopping.run.stop_deadline
+            stopping.run.stop()  # a second stop has no effect
+            assert stopping.run.stop_deadline == stop_deadline
 
-        s.execute(scenario())
+        stopping.execute(scenario())
 
 
 @pytest.mark.parametrize("path", ["/balance/1", "/credit/1"])
 def test_a_request_at_a_hung_backend_is_failed_and_not_refused_at_the_stop_deadline(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, path: str
 ) -> None:
-    with stoppable_run(tmp_path, monkeypatch) as s:
+    with stoppable_run(tmp_path, monkeypatch) as stopping:
 
         async def scenario() -> None:
-            client = s.connect_client(request(path, b"x" if "credit" in path else None))
-            server = await s.accept_backend()
+            client = stopping.connect_client(request(path, b"x" if "credit" in path else None))
+            server = await stopping.accept_backend()
             await server.message()
-            s.run.stop()
-            s.expire_stop_deadline()
+            stopping.run.stop()
+            stopping.expire_stop_deadline()
             first, headers, _ = await client.message()
             assert first.split(" ")[1] == "502" and headers["connection"] == "close"
             server.send(answer(b"late"))
             assert await client.read_to_end() == b""
 
-        s.execute(scenario())
+        stopping.execute(scenario())
 
 
 def test_a_request_completed_after_the_stop_deadline_is_refused_and_not_sent_on(
@@ -151,20 +155,24 @@
 ) -> None:
     """A request read between the final failing of open requests and the exit was sent to a backend
     and lost."""
-    with stoppable_run(tmp_path, monkeypatch) as s:
+    with stoppable_run(tmp_path, monkeypatch) as stopping:
 
         async def scenario() -> None:
             whole = request("/credit/1", b"x")
-            client = s.connect_client(whole[:40])
-            await s.wait_until(lambda: any(c._incoming for c in s.run.server.connections))
-            s.run.stop()
-            s.expire_stop_deadline()
+            client = stopping.connect_client(whole[:40])
+            await stopping.wait_until(
+                lambda: any(c._incoming for c in stopping.run.server.connections)
+            )
+            stopping.run.stop()
+            stopping.expire_stop_deadline()
             client.send(whole[40:])
             assert await client.status() == 503
-            assert not s.run.node.upstream.descriptor_count and not s.run.node.requests
-            assert not s.run.node.budget.held_bytes
+            assert (
+                not stopping.run.node.upstream.descriptor_count and not stopping.run.node.requests
+            )
+            assert not stopping.run.node.budget.held_bytes
 
-        s.execute(scenario())
+        stopping.execute(scenario())
 
 
 def test_a_connection_established_after_the_stop_deadline_carries_nothing(
@@ -174,21 +182,21 @@
     inner = BackendConnection.connection_made
     monkeypatch.setattr(BackendConnection, "connection_made", lambda c, t: made.append((c, t)))
     monkeypatch.setattr(BackendConnection, "_dial_expired", lambda *_: None)
-    with stoppable_run(tmp_path, monkeypatch) as s:
+    with stoppable_run(tmp_path, monkeypatch) as stopping:
 
         async def scenario() -> None:
-            client = s.connect_client(request("/credit/1", b"x"))
-            await s.wait_until(lambda: made)
-            s.run.stop()
-            s.expire_stop_deadline()
+            client = stopping.connect_client(request("/credit/1", b"x"))
+            await stopping.wait_until(lambda: made)
+            stopping.run.stop()
+            stopping.expire_stop_deadline()
             assert await client.status() == 502
-            server = await s.accept_backend()
+            server = await stopping.accept_backend()
             inner(*made[0])
-            await s.run_loop_turns()
+            await stopping.run_loop_turns()
             made[0][0].transport.abort()
             assert await server.read_to_end() == b""
 
-        s.execute(scenario())
+        stopping.execute(scenario())
 
 
 @pytest.mark.parametrize("first", ["stop", "reload"])
@@ -196,79 +204,81 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, first: str
 ) -> None:
     """Each comes twice, in both orders, while a request is open whose class the new file drops."""
-    with stoppable_run(tmp_path, monkeypatch) as s:
+    with stoppable_run(tmp_path, monkeypatch) as stopping:
 
         async def scenario() -> None:
-            client = s.connect_client(request("/credit/1", b"x"))
-            server = await s.accept_backend()
+            client = stopping.connect_client(request("/credit/1", b"x"))
+            server = await stopping.accept_backend()
             await server.message()
-            file = Path(s.environ["PROXY_CONFIG"])
+            file = Path(stopping.environ["PROXY_CONFIG"])
             whole = file.read_text()
             file.write_text(whole.replace('"credit"', '"other"'))
             for action in (first, "reload" if first == "stop" else "stop") * 2:
-                getattr(s.run, action)()
-            assert s.run.server.stopping
+                getattr(stopping.run, action)()
+            assert stopping.run.server.stopping
             server.send(answer(b"served"))
             first_line, headers, body = await client.message()
             assert (first_line.split(" ")[1], body) == ("200", b"served")
             assert headers["connection"] == "close"
-            if s.run.drop_timer is not None:
-                s.run.drop_timer.cancel()
-                s.run.drop_classes(s.run.config)
-            assert not s.run.node.unexpected_error_count
+            if stopping.run.drop_timer is not None:
+                stopping.run.drop_timer.cancel()
+                stopping.run.drop_classes(stopping.run.config)
+            assert not stopping.run.node.unexpected_error_count
 
-        s.execute(scenario())
+        stopping.execute(scenario())
 
 
 @pytest.mark.parametrize("when", ["before", "after"])
 def test_a_request_on_an_idle_connection_at_the_moment_of_a_stop_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, when: str
 ) -> None:
-    with stoppable_run(tmp_path, monkeypatch) as s:
+    with stoppable_run(tmp_path, monkeypatch) as stopping:
 
         async def scenario() -> None:
-            client = s.connect_client(request())
-            server = await s.accept_backend()
+            client = stopping.connect_client(request())
+            server = await stopping.accept_backend()
             await server.message()
             server.send(answer(b"1"))
             assert (await client.message())[1].get("connection") is None
-            await s.wait_until(lambda: s.run.server.idle)
+            await stopping.wait_until(lambda: stopping.run.server.idle)
             if when == "before":
                 client.send(request())  # the request waits in the kernel, unread
-                s.run.stop()
+                stopping.run.stop()
             else:
-                s.run.stop()
+                stopping.run.stop()
                 client.send(request())
-            assert not s.run.server.try_finish()  # a connection with unread data is not closed
+            assert (
+                not stopping.run.server.try_finish()
+            )  # a connection with unread data is not closed
             await server.message()
             server.send(answer(b"2"))
             _, headers, body = await client.message()
             assert (body, headers["connection"]) == (b"2", "close")
-            await s.wait_until(s.run.server.try_finish)
+            await stopping.wait_until(stopping.run.server.try_finish)
 
-        s.execute(scenario())
+        stopping.execute(scenario())
 
 
 def test_small_writes_are_not_delayed_by_nagle_on_either_side(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    with stoppable_run(tmp_path, monkeypatch) as s:
+    with stoppable_run(tmp_path, monkeypatch) as stopping:
 
         async def scenario() -> None:
-            s.connect_client(request())
-            server = await s.accept_backend()
+            stopping.connect_client(request())
+            server = await stopping.accept_backend()
             await server.message()
-            (conn,) = s.run.server.connections
-            (r,) = s.run.node.requests.values()
+            (conn,) = stopping.run.server.connections
+            (r,) = stopping.run.node.requests.values()
             carrier: Any = r.attempts[0].connection
             for transport in (conn._transport, carrier.transport):
                 assert transport is not None
                 sock = transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             server.send(answer(b"1"))
-            await s.wait_until(lambda: not s.run.node.requests)
+            await stopping.wait_until(lambda: not stopping.run.node.requests)
 
-        s.execute(scenario())
+        stopping.execute(scenario())
 
 
 def test_a_state_that_trickles_in_does_not_delay_the_start(
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -111,8 +111,8 @@
 def test_no_connection_is_refused_or_reset_during_upgrades(tmp_path: Path) -> None:
     """Connections arrive all the time and each gets an answer. With a listener for each process,
     connections that wait at the old one when it closes are reset."""
-    with node_versions(tmp_path) as (f, _):
-        old = f.start()
+    with node_versions(tmp_path) as (versions, _):
+        old = versions.start()
         stop = threading.Event()
         bad: list[str] = []
         good = [0]
@@ -120,7 +120,9 @@
         def probe_repeatedly() -> None:
             while not stop.is_set():
                 try:
-                    with socket.create_connection(("127.0.0.1", f.port), HANG_TIMEOUT_S) as sock:
+                    with socket.create_connection(
+                        ("127.0.0.1", versions.port), HANG_TIMEOUT_S
+                    ) as sock:
                         status = readiness_status(Peer(sock))
                     if status == "200":
                         good[0] += 1
@@ -131,7 +133,7 @@
         for thread in threads:
             thread.start()
         for _ in range(3):
-            new = f.start()
+            new = versions.start()
             assert send_call(new.management_port, "readyz\n") == "done\n"
             at = good[0]
             old.process.send_signal(signal.SIGTERM)
@@ -147,9 +149,9 @@
 
 def test_no_connection_waits_at_the_old_version_once_the_new_one_serves(tmp_path: Path) -> None:
     """With a listener for each process, half of these would go to a stopped process."""
-    with node_versions(tmp_path) as (f, _):
-        old = f.start()
-        new = f.start()
+    with node_versions(tmp_path) as (versions, _):
+        old = versions.start()
+        new = versions.start()
         assert send_call(new.management_port, "readyz\n") == "done\n"
         old.process.send_signal(signal.SIGSTOP)
         for _ in range(20):
@@ -157,15 +159,15 @@
 
 
 def test_a_request_open_at_the_old_version_is_answered_by_it(tmp_path: Path) -> None:
-    with node_versions(tmp_path) as (f, socks):
-        old = f.start()
+    with node_versions(tmp_path) as (versions, socks):
+        old = versions.start()
         client = old.connect()
         client.send(request("/credit/1", b"x", timeout=3000))
         peer = accept(socks[0])
         peer.message()
-        f.start()
+        versions.start()
         old.process.send_signal(signal.SIGTERM)
-        late = Peer(socket.create_connection(("127.0.0.1", f.port), HANG_TIMEOUT_S))
+        late = Peer(socket.create_connection(("127.0.0.1", versions.port), HANG_TIMEOUT_S))
         assert readiness_status(late) == "200"  # the answer comes from the new process
         peer.send(answer(b"held"))
         line, headers, body = client.message()
@@ -176,14 +178,14 @@
 def test_bans_and_an_evacuation_outlast_upgrades_until_they_are_lifted(
     tmp_path: Path,
 ) -> None:
-    with node_versions(tmp_path, backends=2) as (f, socks):
-        first = f.start()
+    with node_versions(tmp_path, backends=2) as (versions, socks):
+        first = versions.start()
         assert send_call(first.management_port, "exclude s-0\n") == "done\n"
         assert send_call(first.management_port, "evacuate\n") == "done\n"
-        second = f.start()
+        second = versions.start()
         first.process.send_signal(signal.SIGTERM)
         assert first.process.wait(HANG_TIMEOUT_S) == 0
-        third = f.start()
+        third = versions.start()
         second.process.send_signal(signal.SIGTERM)
         assert second.process.wait(HANG_TIMEOUT_S) == 0
         assert send_call(third.management_port, "readyz\n") == "done\n"
@@ -209,8 +211,8 @@
 def test_a_call_at_either_of_two_processes_reaches_both(tmp_path: Path) -> None:
     """The old process still sends its open requests: a ban called at the new one must apply there
     too."""
-    with node_versions(tmp_path, backends=2) as (f, socks):
-        old = f.start()
+    with node_versions(tmp_path, backends=2) as (versions, socks):
+        old = versions.start()
         kept = old.connect()
         kept.send(request())
         for sock in socks:
@@ -224,7 +226,7 @@
         peers[i].message()
         old_ready = [old.connect()]
         assert readiness_status(old_ready[0]) == "200"
-        new = f.start()
+        new = versions.start()
         assert send_call(new.management_port, f"exclude s-{i}\n") == "done\n"
         # Calls are forwarded in order: once the later evacuation shows, the ban is in force.
         assert send_call(new.management_port, "evacuate\n") == "done\n"
@@ -245,24 +247,24 @@
 
 
 def test_where_the_new_version_ends_the_old_one_accepts_clients_again(tmp_path: Path) -> None:
-    with node_versions(tmp_path) as (f, _):
-        old = f.start()
-        broken = f.start()
+    with node_versions(tmp_path) as (versions, _):
+        old = versions.start()
+        broken = versions.start()
         assert readiness_status(broken.connect()) == "200"
         broken.process.kill()
         broken.process.wait(HANG_TIMEOUT_S)
         assert readiness_status(old.connect()) == "200"
-        third = f.start()  # the old process hands over again
+        third = versions.start()  # the old process hands over again
         old.process.send_signal(signal.SIGTERM)
         assert old.process.wait(HANG_TIMEOUT_S) == 0
         assert readiness_status(third.connect()) == "200"
 
 
 def test_a_new_version_starts_although_the_running_one_hangs(tmp_path: Path) -> None:
-    with node_versions(tmp_path) as (f, _):
-        old = f.start()
+    with node_versions(tmp_path) as (versions, _):
+        old = versions.start()
         old.process.send_signal(signal.SIGSTOP)
-        new = f.start()
+        new = versions.start()
         assert any("nothing taken over" in line for line in new.log_lines)
         old.process.kill()
         # Connections that the kernel gave to it are reset: nothing could prevent that.
@@ -271,14 +273,14 @@
 
 
 def test_both_processes_together_stay_within_the_descriptor_limit(tmp_path: Path) -> None:
-    with node_versions(tmp_path, limits={"sockets": 160}) as (f, _):
-        old = f.start()
+    with node_versions(tmp_path, limits={"sockets": 160}) as (versions, _):
+        old = versions.start()
         crowd = [old.connect() for _ in range(90)]
         for client in crowd:
             client.send(request()[:20])
         while old.descriptors() < 70:
             time.sleep(0.01)
-        new = f.start()
+        new = versions.start()
         more = [new.connect() for _ in range(150)]
         for client in more:
             with contextlib.suppress(OSError):
@@ -339,9 +341,9 @@
 def test_a_hand_over_works_in_a_directory_with_a_long_path(tmp_path: Path) -> None:
     folder = tmp_path / ("d" * 100) / ("e" * 100)
     folder.mkdir(parents=True)
-    with node_versions(folder) as (f, _):
-        old = f.start()
-        new = f.start()
+    with node_versions(folder) as (versions, _):
+        old = versions.start()
+        new = versions.start()
         old.process.send_signal(signal.SIGTERM)
         assert old.process.wait(HANG_TIMEOUT_S) == 0
         assert readiness_status(new.connect()) == "200"
--- a/tests/world.py
+++ b/tests/world.py
@@ -77,27 +77,27 @@
 ) -> AsyncIterator[World]:
     """Run a node with one server for each behaviour; with a `plan`, faults are injected below the
     node."""
-    w = World(seed)
-    w.registry.moods = moods or w.registry.moods
+    created = World(seed)
+    created.registry.moods = moods or created.registry.moods
     try:
         for i, behaviour in enumerate(behaviours):
-            server = TopupServer(f"s-{i}", w.ledger, Random(w.rng.random()), behaviour)
+            server = TopupServer(f"s-{i}", created.ledger, Random(created.rng.random()), behaviour)
             await server.start()
-            w.servers.append(server)
-            w.registry.put(target(server.name, server.port))
-        await w.registry.start()
-        known = roster(*(target(s.name, s.port) for s in w.servers))
-        w.node = NodeProcess(folder, known, w.registry.port, **over)
+            created.servers.append(server)
+            created.registry.put(target(server.name, server.port))
+        await created.registry.start()
+        known = roster(*(target(s.name, s.port) for s in created.servers))
+        created.node = NodeProcess(folder, known, created.registry.port, **over)
         environ = None
         if plan is not None:
-            ports = [s.port for s in w.servers]
+            ports = [s.port for s in created.servers]
             environ = faults.environment(folder / "faults.log", ports, plan)
-        await asyncio.to_thread(w.node.start, environ)
-        yield w
+        await asyncio.to_thread(created.node.start, environ)
+        yield created
     finally:
-        if hasattr(w, "node"):
-            w.node.kill()
-        w.registry.close()
-        for server in w.servers:
+        if hasattr(created, "node"):
+            created.node.kill()
+        created.registry.close()
+        for server in created.servers:
             server.kill()
         await asyncio.sleep(0)
