--- a/windrelay/node.py
+++ b/windrelay/node.py
@@ -331,7 +331,7 @@
             self.end_event()
 
     def client_gone(self, request: Request) -> None:
-        """The client has disconnected: no answer is owed any more, and attempts run on to their
+        """The client has disconnected: it gets no answer, and the attempts run on to their
         outcomes."""
         if request.ended:
             return
@@ -456,7 +456,7 @@
     # ---- requests -----------------------------------------------------
 
     def end_request(self, request: Request) -> None:
-        """Mark a request as ended: its client is owed nothing more."""
+        """Mark a request as ended: its client gets nothing more."""
         request.ended = True
         request.client = None
         self.open_request_count -= 1
