--- a/windrelay/controls.py
+++ b/windrelay/controls.py
@@ -40,7 +40,7 @@
     def readyz(self) -> None:
         """Raise CallError unless this process serves clients."""
         if not self.serving:
-            raise CallError("not serving: the process starts or stops")
+            raise CallError("not serving: it starts or stops")
 
     def exclude(self, uid: str) -> None:
         """Send a backend no new attempt, at this process and at the other one."""
--- a/windrelay/management.py
+++ b/windrelay/management.py
@@ -59,24 +59,24 @@
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError:
-        return b"error: a call must be plain ASCII\n"
+        return b"error: a call is plain ASCII\n"
     try:
         if not words:
             raise CallError(
-                f"the call is empty; one of {', '.join(CALLS_WITHOUT_ID + CALLS_WITH_ID)} is wanted"
+                f"empty; one of {', '.join(CALLS_WITHOUT_ID + CALLS_WITH_ID)} is wanted"
             )
         name, rest = words[0], words[1:]
         if name in CALLS_WITHOUT_ID:
             if rest:
-                raise CallError(f"{name} takes no argument")
+                raise CallError(f"{name} takes nothing behind it")
             getattr(controls, name)()
         elif name in CALLS_WITH_ID:
             if len(rest) != 1:
-                raise CallError(f"{name} takes one argument, the id of a backend")
+                raise CallError(f"{name} takes one id of a backend")
             getattr(controls, name)(rest[0])
         else:
             raise CallError(
-                f"unknown call; one of {', '.join(CALLS_WITHOUT_ID + CALLS_WITH_ID)} is wanted"
+                f"no such call; one of {', '.join(CALLS_WITHOUT_ID + CALLS_WITH_ID)} is wanted"
             )
     except CallError as err:
         return f"error: {err}\n".encode()
@@ -173,7 +173,7 @@
             return execute_call(self.controls, line)
         except Exception as err:
             self.on_error("a management call", err)
-            return b"error: the call raised an exception, see the node's log\n"
+            return b"error: a fault of the node's own, see its log\n"
 
     def add(self, connection: CallConnection) -> None:
         """Count a new connection, and close the oldest one past MAX_CONNECTIONS."""
