--- a/flinthatch/balancer.py
+++ b/flinthatch/balancer.py
@@ -1,12 +1,14 @@
-"""The decisions of one flinthatch node.
-
-The ordinary path is the gateway of Pacifici et al., "Performance Management
-for Cluster-Based Web Services": per-class FIFO queues, in-flight caps per
-backend and in total, a weighted round robin over integer class shares, and a
-periodic solve of those shares from an M/M/1 prediction and utility curves.
-A Balancer does no I/O, reads no clock and keeps no state outside itself: it
-is told what happened and when (integer nanoseconds) and calls its Actions.
-docs/design.md says what was kept, what was changed, and when exceptions act.
+"""Load balancing decisions of one flinthatch node.
+
+The ordinary request path follows the gateway of Pacifici et al., "Performance
+Management for Cluster-Based Web Services": FIFO queues for each class, limits on
+the requests in flight at each backend and in total, a weighted round robin over
+integer class shares, and a periodic computation of those shares from an M/M/1
+prediction and utility curves.
+A Balancer does no I/O, reads no clock and keeps no state outside itself: its host
+reports each event with its time (integer nanoseconds), and the Balancer calls its
+Actions. docs/design.md describes what is taken from the paper, what differs, and
+when exceptions to the ordinary path apply.
 """
 
 from __future__ import annotations
@@ -29,98 +31,119 @@
     Update,
 )
 
-# Caps. The concurrency limit is how many requests all nodes together keep at one
-# backend. It starts at START_LIMIT and follows the worst class's crowding: the part
-# of the room between its uncrowded latency and its aim that attempts use up. Under
-# LOW_CROWDING with requests waiting it grows, over HIGH_CROWDING it is cut.
-# One is enough where work is long against the network gap, as in a slowdown.
+# Concurrency limit: the number of requests that all nodes together keep in flight at one
+# backend. The limit starts at INITIAL_CONCURRENCY_LIMIT and follows the congestion of the
+# most congested class: the part of the room between the class's baseline latency (latency
+# without congestion) and its latency target that its attempts use up. The limit grows while
+# the congestion is under LOW_CONGESTION_FRACTION and requests are waiting, and is cut while
+# the congestion is over HIGH_CONGESTION_FRACTION.
 INITIAL_CONCURRENCY_LIMIT = 4.0
+# One request per backend is enough where the work takes long compared with the network
+# round trip, as it does in a slowdown.
 MIN_CONCURRENCY_LIMIT = 1.0
-REJECTION_CUT_MIN_LIMIT = 3.0  # below it backends that turn away while they are quick cut nothing
+# At or below this limit, rejections by backends that otherwise answer quickly do not cut it.
+REJECTION_CUT_MIN_LIMIT = 3.0
 MAX_CONCURRENCY_LIMIT = 64.0
 LOW_CONGESTION_FRACTION = 0.17
 HIGH_CONGESTION_FRACTION = 0.32
-BASELINE_GROWTH_RATIO = (
-    1.005  # a cycle, so that an uncrowded latency once seen is not held for ever
-)
+# Growth of a class's baseline latency per cycle: without it, the lowest latency ever seen
+# would stay the baseline for good.
+BASELINE_GROWTH_RATIO = 1.005
 LIMIT_GROWTH_RATIO = 1.15
 LIMIT_CUT_RATIO = 0.9
-CONGESTION_SAMPLE_COUNT = (
-    10  # answers that judge a class's crowding; fewer are carried to the next cycle
-)
-MAX_TARGET_RATIO = 1.2  # most aims one attempt may count as
-MAX_REJECTED_FRACTION = 0.05  # refusals by backends above this share of outcomes cut the limit
-MAX_TIMED_OUT_FRACTION = 0.04  # the same of time-outs by backends that answer otherwise ...
-TIMEOUT_CUT_MIN_TARGET_RATIO = (
-    0.35  # ... where attempts take this part of their aim, time-outs counted in
-)
-REMOTE_LIMIT_FRACTION = 0.34  # part of the limit that is dealt to nodes of other zones
-ROUNDING_OFFSET_STEP = 0.618034  # golden section: any run of ranks rounds up in proportion
-MIN_SLOTS_PER_NODE = 4  # a node holds at least this many slots, however thin its deal
-SLOW_BACKEND_LATENCY_RATIO = 1.5  # latency against the fleet's at which a backend's own cap shrinks
-# Ties: candidates looked at among the backends holding equally few.
+# Answers that the congestion of a class is judged by; a smaller number is carried over to
+# the next cycle.
+CONGESTION_SAMPLE_COUNT = 10
+MAX_TARGET_RATIO = 1.2  # latency that one attempt counts as at most, in latency targets
+# Rejections by backends above this fraction of all outcomes cut the limit.
+MAX_REJECTED_FRACTION = 0.05
+# Time-outs at backends that otherwise answer, above this fraction of all outcomes, cut the
+# limit if the mean latency, time-outs included, exceeds this part of the latency target.
+MAX_TIMED_OUT_FRACTION = 0.04
+TIMEOUT_CUT_MIN_TARGET_RATIO = 0.35
+REMOTE_LIMIT_FRACTION = 0.34  # part of the limit that nodes of other zones share
+# Golden section: the rounding offsets of any run of consecutive backends are spread evenly,
+# so the number of limits that round up is in proportion to the fraction.
+ROUNDING_OFFSET_STEP = 0.618034
+MIN_SLOTS_PER_NODE = 4  # slots that a node holds at least, however many nodes share them
+# Latency of a backend, relative to the fleet, above which the backend's own limit shrinks.
+SLOW_BACKEND_LATENCY_RATIO = 1.5
+# Backends compared by cost among those with the same number of requests in flight.
 CANDIDATE_COUNT = 3
-COST_VALID_NS = 2 * SECOND  # what a backend's last answer said is believed this long
-# Waiting: a queued request is refused once this part of its slack is gone, so
-# that what is served is served well inside its aim, and that a client who comes
-# again at once can still be: with half the slack a fifth of answers were late.
+COST_VALID_NS = 2 * SECOND  # age up to which the cost learnt from a backend's outcome is used
+# A queued request is refused once it has waited for this part of its slack. Requests that
+# are served are then served well within their latency target, and a client that retries at
+# once can still be served in time: with half of the slack, a fifth of the answers were late.
 MAX_QUEUE_WAIT_FRACTION = 0.25
-MANY_NODES_SLOTS_PER_BACKEND = (
-    2  # slots at each server that all nodes' least come to, where nodes are many
-)
-OVERLOAD_HOLD_NS = (
-    SECOND  # after an attempt was turned away or timed out servers are taken to be short
-)
-TIME_LEFT_STEP_COUNT = 64  # steps in which the time a client has left is told apart
-MAX_TIME_LEFT_SAMPLE_COUNT = 4000  # requests remembered for it, about
-USUAL_TIME_LEFT_MIN_FRACTION = (
-    0.25  # of requests, for a time left to be taken for that of first tries
-)
-SHORT_DEADLINE_MIN_FRACTION = (
-    0.08  # of requests in calm times, where nobody had a try to lose, that look late ...
-)
-SHORT_DEADLINE_MIN_COUNT = 2  # ... and so many of them: then clients are hasty by nature
-CALM_COUNT_DECAY_RATIO = 0.999  # of these counts a cycle
-HALF_CLOSE_GRACE_NS = (
-    50 * MS
-)  # of its client's half-close an attempt that has not begun yet does not
-TARGET_MARGIN_FRACTION = 0.03  # an attempt is ended this part of the aim early
-ATTEMPT_TIMEOUT_LATENCY_RATIO = 5.0  # a repeatable attempt is given this many mean latencies ...
-ATTEMPT_TIMEOUT_MIN_TARGET_FRACTION = 1.0  # ... and at least this part of its aim
-RETRY_BUDGET_FRACTION = 0.1  # retries after time-outs allowed per first attempt
+# A node is one of many when the minimum of slots of all nodes in its zone comes to this
+# many slots at each of the zone's backends.
+MANY_NODES_SLOTS_PER_BACKEND = 2
+# Backends count as overloaded for this long after one rejected an attempt or timed out.
+OVERLOAD_HOLD_NS = SECOND
+TIME_LEFT_STEP_COUNT = 64  # steps of the histogram of the time that clients have left
+# Requests after which the counts of that histogram are halved, so that old ones fade.
+MAX_TIME_LEFT_SAMPLE_COUNT = 4000
+# Part of the requests that must share one step of the histogram before that time left is
+# taken for the one that first tries come with.
+USUAL_TIME_LEFT_MIN_FRACTION = 0.25
+# Requests in calm times, when no client had a try to lose, that look late all the same: from
+# this fraction and this number of them on, the clients set short deadlines from the start.
+SHORT_DEADLINE_MIN_FRACTION = 0.08
+SHORT_DEADLINE_MIN_COUNT = 2
+CALM_COUNT_DECAY_RATIO = 0.999  # decay of the counts of calm times per cycle
+# An attempt that has not started within this time of its client's half-close is not started.
+HALF_CLOSE_GRACE_NS = 50 * MS
+# Part of the latency target by which an attempt is ended before the target.
+TARGET_MARGIN_FRACTION = 0.03
+# Time-out of an attempt that may be repeated: this many mean latencies of its class, and at
+# least this part of its latency target.
+ATTEMPT_TIMEOUT_LATENCY_RATIO = 5.0
+ATTEMPT_TIMEOUT_MIN_TARGET_FRACTION = 1.0
+RETRY_BUDGET_FRACTION = 0.1  # retries that each first attempt adds to the retry budget
 RETRY_BUDGET_BURST_COUNT = 10.0
-# Back-off of list calls, from half to one and a half of this, doubled with each failure. What
-# the list has counts as told 6 s later at the latest, whatever became of the calls.
+# Backoff of calls for the backend list, doubled with each failure; the wait is drawn from
+# half to one and a half of it. The node counts as informed of a change 6 s after the list
+# has it, whatever became of the calls, so the backoff has to stay short.
 LIST_BACKOFF_NS = 200 * MS
 MAX_LIST_BACKOFF_NS = 1600 * MS
-# Health.
-MAX_REJECTION_PAUSE_NS = SECOND // 3  # longest rest of a backend that turned an attempt away
-DIAL_FAILURE_PAUSE_NS = 50 * MS  # after a lone dial that failed
-STALL_LATENCY_RATIO = 6.0  # silence, in mean latencies, after which a backend in use is passed over
-EJECTION_TIMEOUT_COUNT = 3  # time-outs in a row, no answer between, that make a backend silent
-# Answers that are errors. Some backends fail at once whatever they get, hold least for
-# it, and would draw the whole stream; any may send a spoilt answer now and then.
+# Health of backends.
+MAX_REJECTION_PAUSE_NS = SECOND // 3  # longest pause of a backend that rejected an attempt
+DIAL_FAILURE_PAUSE_NS = 50 * MS  # pause after a single failed connection attempt
+# Silence, in mean latencies, after which a backend with requests in flight gets no more.
+STALL_LATENCY_RATIO = 6.0
+# Consecutive time-outs, with no answer in between, after which a backend is ejected.
+EJECTION_TIMEOUT_COUNT = 3
+# Error answers. A backend that fails every request at once has the fewest requests in flight
+# and would attract all of the traffic, so it is ejected. Any backend may send a single bad
+# answer from time to time. The fractions below are exponentially smoothed with their gains.
 ERROR_FRACTION_GAIN = 0.25
-EJECTION_ERROR_FRACTION = 0.55  # errors' smoothed part that takes a backend out: three in a row ...
-HIGH_FLEET_ERROR_FRACTION = 0.12  # ... but where so many of all are, any may have three in a row:
-EJECTION_ERROR_FRACTION_IN_FAILING_FLEET = 0.9  # then it takes eight
+# Three errors in a row exceed this fraction and eject a backend.
+EJECTION_ERROR_FRACTION = 0.55
+# Where the fleet's error fraction is at least this high, three errors in a row happen to any
+# backend, and the higher threshold applies, which takes eight in a row.
+HIGH_FLEET_ERROR_FRACTION = 0.12
+EJECTION_ERROR_FRACTION_IN_FAILING_FLEET = 0.9
 FLEET_ERROR_FRACTION_GAIN = 0.02
+# A backend counts as unreliable for this long after a failure, and gets no requests that
+# must not be repeated. One recent error exceeds the fraction, and so do a few older ones.
 UNRELIABLE_HOLD_NS = SECOND
-UNRELIABLE_ERROR_FRACTION = (
-    0.2  # what may not be repeated goes elsewhere: one lately, or a few before
-)
+UNRELIABLE_ERROR_FRACTION = 0.2
 EJECTION_BACKOFF_NS = SECOND
 MAX_EJECTION_BACKOFF_NS = 8 * SECOND
-# Solver.
+# Computation of the class shares.
 CYCLE_NS = SECOND // 2
-CYCLE_DECAY_RATIO = 0.85  # of last cycles' sums, so that thin traffic is averaged over seconds
+# Decay of a class's sums per cycle, so that sparse traffic is averaged over some seconds.
+CYCLE_DECAY_RATIO = 0.85
 UTILITY_ALPHA = 1.0
 UTILITY_BETA = 1.0
-MAX_PREDICTED_TARGET_RATIO = 10.0  # predicted times are bounded at this many aims
-REFUSED_TARGET_RATIO = 10.0  # a refusal enters the mean response time as this many aims
-MIN_SERVED_FRACTION = 0.02  # of a class's requests, for the share that serving all would take
-# Slow start: part of the stated budget that all nodes use together, the rest is
-# for views that differ and for requests heavier than the mean.
+MAX_PREDICTED_TARGET_RATIO = 10.0  # bound of predicted times, in latency targets
+# Response time that a refused request counts as in the mean, in latency targets.
+REFUSED_TARGET_RATIO = 10.0
+# Lower bound of the served fraction of a class, by which the share that would serve all of
+# its requests is estimated.
+MIN_SERVED_FRACTION = 0.02
+# Slow start: the part of the configured budget that all nodes together use. The rest covers
+# nodes whose lists differ and requests that are heavier than the mean.
 SLOW_START_BUDGET_FRACTION = 0.7
 MIN_SLOW_START_SLOT_COUNT = 2
 
@@ -134,14 +157,13 @@
 
 OUTCOMES_NEVER_RAN = (3, 5, 8)
 OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET = 1, 2, 3, 4, 5, 6
-OUTCOMES_MAY_STILL_RUN = (
-    4,
-    6,
-    7,
-)  # timed out, reset, cancelled: no answer, and nothing says that it ended
+# Timed out, reset, cancelled: no answer came, and the backend may still be working.
+OUTCOMES_MAY_STILL_RUN = (4, 6, 7)
 
 
 class Backend:
+    """State of one backend: what the list says, what is in flight there, and its health."""
+
     __slots__ = (
         "abandoned_until", "bucket", "cell", "consecutive_failures", "consecutive_rejections",
         "cost", "ejected_until", "ejection_backoff", "error_fraction", "half_open",
@@ -151,83 +173,88 @@
         "started_at", "state", "weight", "zone",
     )  # fmt: skip
 
-    def __init__(self, row: Listing, local: bool) -> None:
-        self.id = row.backend
-        self.zone = row.zone
-        self.cell = row.cell
-        self.hardware_kind = row.hardware_kind
-        self.started_at = row.started_at
-        self.weight = row.weight if row.weight > 0 else 1.0
-        self.state = row.state
-        self.listed_state = row.state  # the list's word; a ban may go before it
-        self.is_local = local
+    def __init__(self, listing: Listing, is_local: bool) -> None:
+        self.id = listing.backend
+        self.zone = listing.zone
+        self.cell = listing.cell
+        self.hardware_kind = listing.hardware_kind
+        self.started_at = listing.started_at
+        self.weight = listing.weight if listing.weight > 0 else 1.0
+        self.state = listing.state
+        self.listed_state = listing.state  # state in the list, which a ban overrides
+        self.is_local = is_local
         self.in_flight = 0
-        self.abandoned_until: tuple[
-            int, ...
-        ] = ()  # ends of what was given up and may be at work yet
-        self.slot_limit = 0
-        self.slot_offset = 0  # this node's place in the deal of this backend's slots
-        self.rounding_offset = 0.0  # where this backend's part of the limit rounds up
+        # When each abandoned attempt that may still be running has ended at the latest.
+        self.abandoned_until: tuple[int, ...] = ()
+        self.slot_limit = 0  # slots of this node at the backend
+        self.slot_offset = 0  # this node's place in the order in which the slots are assigned
+        self.rounding_offset = 0.0  # added to the limit before it is rounded down
         self.bucket: list[Backend] | None = None
-        self.index = 0
-        self.latency_ratio = 1.0  # latency against the fleet's, slowly averaged
-        self.cost = 1.0  # the last answer's word on how busy it is
+        self.index = 0  # position in the bucket
+        self.latency_ratio = 1.0  # latency relative to the fleet, slowly averaged
+        self.cost = 1.0  # load estimate from the last outcome
         self.last_outcome_at = 0
-        self.silent_since = 0  # last answer, or first send after being idle
+        self.silent_since = 0  # time of the last answer, or of the first send after idleness
         self.stalled = False
         self.half_open = False
         self.ejected_until = 0
         self.ejection_backoff = EJECTION_BACKOFF_NS
-        self.consecutive_failures = 0
-        self.error_fraction = 0.0  # part of late answers that were errors
-        self.consecutive_rejections = 0  # turned away in a row
+        self.consecutive_failures = 0  # time-outs and failed connections without an answer between
+        self.error_fraction = 0.0  # smoothed fraction of answers that were errors
+        self.consecutive_rejections = 0
         self.slow_start_until = 0
-        self.slow_start_node_count = 1.0  # nodes like this one that its cold budget would do for
+        self.slow_start_node_count = 1.0  # nodes among which the slow-start budget is split
         self.paused_until = 0
 
     def is_unreliable(self, now: int) -> bool:
-        """Whether its last word, a moment ago, was bad, or it is being tried again."""
+        """Whether the backend is half-open, or has failed a moment ago."""
         bad = self.error_fraction > UNRELIABLE_ERROR_FRACTION or self.consecutive_failures > 0
         return self.half_open or (bad and now - self.last_outcome_at < UNRELIABLE_HOLD_NS)
 
 
 class Attempt:
+    """One attempt of a request at one backend."""
+
     __slots__ = ("backend", "is_open", "response_started", "sent_at")
 
-    def __init__(self, backend: Backend, sent: int) -> None:
+    def __init__(self, backend: Backend, sent_at: int) -> None:
         self.backend = backend
-        self.sent_at = sent
-        self.is_open = True
-        self.response_started = False  # its answer has begun
+        self.sent_at = sent_at
+        self.is_open = True  # its outcome has not been reported yet
+        self.response_started = False
 
 
 class Request:
+    """One client request, from its arrival to its answer and the outcome of its last attempt."""
+
     __slots__ = (
         "arrived_at", "attempts", "attempts_in_flight", "cls", "deadline_at", "ended",
         "first_maybe_run", "half_closed_at", "hint", "id", "low_priority", "queued", "target_at",
         "tenant", "wait_until",
     )  # fmt: skip
 
-    def __init__(self, rid: int, cls: ClassState, now: int, left: int, tenant: int) -> None:
-        self.id = rid
-        self.cls = cls
+    def __init__(
+        self, request_id: int, class_state: ClassState, now: int, time_left: int, tenant: int
+    ) -> None:
+        self.id = request_id
+        self.cls = class_state
         self.tenant = tenant
         self.arrived_at = now
-        self.deadline_at = now + left
-        self.target_at = now + cls.latency_target
-        self.wait_until = 0
+        self.deadline_at = now + time_left  # when the client gives up
+        self.target_at = now + class_state.latency_target  # when the answer counts as late
+        self.wait_until = 0  # until when the request may stay queued
         self.attempts: list[Attempt] = []
-        self.attempts_in_flight = 0  # attempts still out
+        self.attempts_in_flight = 0
         self.first_maybe_run: Attempt | None = None  # the first attempt that may have run
         self.queued = False
-        self.low_priority = False
-        self.ended = False
-        self.half_closed_at = 0  # when its client ended its sending, 0 where it has not
+        self.low_priority = False  # beyond its tenant's quota, or late already
+        self.ended = False  # answered, or its client has gone
+        self.half_closed_at = 0  # when its client ended its sending, 0 if it has not
         self.hint = 0
 
 
 class ClassState:
-    """One class's queues, counts and what the solver knows of it."""
+    """Queues, counts and learnt latencies of one request class."""
 
     __slots__ = (
         "arrival_count", "baseline_latency", "cycle_count", "effect", "in_flight",
@@ -238,29 +265,31 @@
         "waiting_by_tenant", "waiting_low_priority",
     )  # fmt: skip
 
-    def __init__(self, number: int, spec: RequestClass, tenants: int) -> None:
+    def __init__(self, number: int, spec: RequestClass, tenant_count: int) -> None:
         self.number = number
         self.spec = spec
         self.latency_target = spec.latency_target
         self.effect = spec.effect
-        # Lines may hold requests that have ended; `counts` tells who still waits.
-        self.queues_by_tenant: list[deque[Request]] = [deque() for _ in range(max(1, tenants))]
-        self.waiting_by_tenant = [0] * max(1, tenants)
-        self.passes_by_tenant = [0.0] * max(1, tenants)
+        # The queues may hold requests that have ended already; `waiting_by_tenant` counts
+        # those that still wait.
+        self.queues_by_tenant: list[deque[Request]] = [deque() for _ in range(max(1, tenant_count))]
+        self.waiting_by_tenant = [0] * max(1, tenant_count)
+        # Stride scheduling: the tenant with the lowest pass is served next.
+        self.passes_by_tenant = [0.0] * max(1, tenant_count)
         self.low_priority_queue: deque[Request] = deque()
-        self.waiting = 0  # within quota
+        self.waiting = 0  # queued requests, without those of low priority
         self.waiting_low_priority = 0
-        self.time_left_histogram = [0] * (
-            TIME_LEFT_STEP_COUNT + 1
-        )  # requests by the time their client had left
-        self.usual_time_left_step = 0  # the step most came with
+        # Requests by the time that their client had left, in steps of the class's deadline.
+        self.time_left_histogram = [0] * (TIME_LEFT_STEP_COUNT + 1)
+        self.usual_time_left_step = 0  # the most frequent step of the histogram
         self.time_left_count = 0
         self.in_flight = 0
         self.share = 1
-        self.virtual_time = 0.0  # the turn that was served last
+        self.virtual_time = 0.0  # the pass of the tenant that was served last
         self.mean_latency = spec.latency_target / 4.0
         self.latency_count = 0.0
-        self.baseline_latency = 0.0  # mean attempt latency when uncrowded
+        self.baseline_latency = 0.0  # mean attempt latency without congestion, 0 if unknown
+        # Sums over the past cycles, decayed by CYCLE_DECAY_RATIO in each.
         self.arrival_count = 0.0
         self.response_time_sum = 0.0
         self.refused_count = 0.0
@@ -268,142 +297,157 @@
         self.share_sum = 0.0
         self.cycle_count = 0.0
 
-    def estimate_elapsed(self, left: int) -> int:
-        """How long ago a try's client began, 0 where the time left does not tell.
+    def estimate_elapsed(self, time_left: int) -> int:
+        """How long ago the client began its first try, 0 if the time left does not tell.
 
-        Clients give up a try after one usual time; a later try has less where
-        the deadline is near, and the last one all that is left. The longest time
-        seen is thus not a first try's: taken for it, all first tries looked late.
+        A client ends each try after its usual time-out; a later try has less time where
+        the deadline is near, and the last try has all the time that remains. The longest
+        time left is therefore not that of a first try: if it were taken for one, all first
+        tries would look late.
         """
         deadline = self.spec.deadline
-        step = max(0, min(TIME_LEFT_STEP_COUNT * left // deadline, TIME_LEFT_STEP_COUNT))
+        step = max(0, min(TIME_LEFT_STEP_COUNT * time_left // deadline, TIME_LEFT_STEP_COUNT))
         self.time_left_count += 1
         self.time_left_histogram[step] += 1
         if self.time_left_histogram[step] > self.time_left_histogram[self.usual_time_left_step]:
             self.usual_time_left_step = step
         if self.time_left_count >= MAX_TIME_LEFT_SAMPLE_COUNT:
-            # Over days what clients usually leave changes, and must be seen to.
+            # The time that clients usually have left changes over days; halving the counts
+            # lets the histogram follow.
             self.time_left_count //= 2
-            self.time_left_histogram = [n // 2 for n in self.time_left_histogram]
+            self.time_left_histogram = [count // 2 for count in self.time_left_histogram]
         if (
             abs(step - self.usual_time_left_step) <= 1
             or self.time_left_histogram[self.usual_time_left_step]
             < USUAL_TIME_LEFT_MIN_FRACTION * self.time_left_count
         ):
             return 0
-        return max(deadline - left, 0)
+        return max(deadline - time_left, 0)
 
 
-def first_node(rank: int, servers: int, nodes: int) -> int:
-    """The node that a server's slots are dealt to first, of more nodes than servers or fewer.
+def first_node(rank: int, backend_count: int, node_count: int) -> int:
+    """Return the position of the node that the backend of this rank assigns its first slot to.
 
-    With more nodes the ranks alone end before the nodes do: of 182 nodes before 119 servers
-    47 to 55 held no slot near, and up to 30 none at all (two to five zones).
+    With fewer backends than nodes, the ranks are spread over all nodes. Used as they are,
+    they would end before the nodes do: of 182 nodes with 119 backends, 47 to 55 held no slot
+    in their own zone, and up to 30 held none at all (two to five zones).
     """
-    return rank * nodes // servers if servers < nodes else rank
+    return rank * node_count // backend_count if backend_count < node_count else rank
 
 
-def predict_response_time(rate: float, mean: float, old: float, new: float) -> float:
-    """Mean response time at share `new` (eqs. 8 and 9); inf where saturated."""
-    denominator = 1.0 / mean + rate * (1.0 / old - 1.0 / new)
+def predict_response_time(
+    rate: float, mean_time: float, old_share: float, new_share: float
+) -> float:
+    """Mean response time at `new_share` (equations 8 and 9); infinite where saturated."""
+    denominator = 1.0 / mean_time + rate * (1.0 / old_share - 1.0 / new_share)
     return 1.0 / denominator if denominator > 0 else INFINITE
 
 
-def utility(aim: float, time: float, worth: float) -> float:
-    """The paper's curve over times in aims; worth scales only the side of missing."""
-    miss = min(time / aim, MAX_PREDICTED_TARGET_RATIO) - 1.0
-    return float((-miss) ** UTILITY_ALPHA if miss <= 0 else -worth * miss**UTILITY_BETA)
+def utility(target: float, response_time: float, value: float) -> float:
+    """The paper's utility curve over response times relative to their target.
+
+    `value` scales only the negative side, where the target is missed.
+    """
+    miss = min(response_time / target, MAX_PREDICTED_TARGET_RATIO) - 1.0
+    return float((-miss) ** UTILITY_ALPHA if miss <= 0 else -value * miss**UTILITY_BETA)
 
 
 def solve_max_min_shares(
     total: int, flows: Sequence[tuple[float, float, float, float, float]]
 ) -> list[int]:
-    """Max-min integer shares, each at least 1, for (rate, mean, share, aim, worth).
+    """Compute the max-min integer shares of `total` slots, each share at least 1.
 
-    Handing the slots one by one to the class that stands lowest gives the
-    max-min optimum because no utility falls as a share grows. A class with no
-    traffic (rate or mean 0) keeps its one slot until all others are content.
+    A flow is (requests per second, mean response time, current share, target, value), with
+    times in seconds. Each slot in turn goes to the class with the lowest utility; that gives
+    the max-min optimum because no utility falls as its share grows. A class without traffic
+    (rate or mean 0) keeps its one slot until all others meet their target.
     """
     shares = [1] * len(flows)
 
-    def stand(i: int) -> float:
-        rate, mean, old, aim, worth = flows[i]
-        if rate <= 0 or mean <= 0:
+    def utility_of(i: int) -> float:
+        rate, mean_time, old_share, target, value = flows[i]
+        if rate <= 0 or mean_time <= 0:
             return 1.0
-        t = predict_response_time(rate, mean, max(old, 1.0), shares[i])
-        if t == INFINITE:
-            # Among saturated classes more slots still mean less overload.
+        predicted = predict_response_time(rate, mean_time, max(old_share, 1.0), shares[i])
+        if predicted == INFINITE:
+            # Among saturated classes, each further slot still lessens the overload.
             return float(
-                -worth * (MAX_PREDICTED_TARGET_RATIO - 1.0) ** UTILITY_BETA
-                - worth * rate * aim / shares[i]
+                -value * (MAX_PREDICTED_TARGET_RATIO - 1.0) ** UTILITY_BETA
+                - value * rate * target / shares[i]
             )
-        return utility(aim, t, worth)
+        return utility(target, predicted, value)
 
-    stands = [stand(i) for i in range(len(flows))]
+    utilities = [utility_of(i) for i in range(len(flows))]
     for _ in range(total - len(flows)):
-        low = min(range(len(flows)), key=stands.__getitem__)
-        shares[low] += 1
-        stands[low] = stand(low)
+        lowest = min(range(len(flows)), key=utilities.__getitem__)
+        shares[lowest] += 1
+        utilities[lowest] = utility_of(lowest)
     return shares
 
 
 class Balancer:
-    """Decides for one node; see the module's docstring."""
+    """Decides for one node where and when its requests are sent; see the module's docstring."""
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
         self.settings = settings
         self.actions = actions
         self.random = Random(seed)
         self.now = 0
-        tenants = len(settings.tenants)
-        self.classes = [ClassState(i, c, tenants) for i, c in enumerate(settings.classes)]
+        tenant_count = len(settings.tenants)
+        self.classes = [ClassState(i, c, tenant_count) for i, c in enumerate(settings.classes)]
         self.backends: dict[int, Backend] = {}
-        self.banned: set[int] = set()  # by an operator's word, whatever the list says
+        self.banned: set[int] = set()  # banned by an operator, whatever the list says
         self.requests: dict[int, Request] = {}
-        # Buckets of free backends by requests held: own zone, then the others.
+        # Backends with a free slot, in buckets by their requests in flight: those of the node's
+        # own zone, and those of other zones.
         self.local_buckets: list[list[Backend]] = [[]]
         self.remote_buckets: list[list[Backend]] = [[]]
-        self.total_slots = 0  # N_g
+        self.total_slots = 0  # N_g in the paper
         self.in_flight = 0
-        self.waiting = 0  # queued within quota
+        self.waiting = 0  # queued requests, without those of low priority
         self.waiting_low_priority = 0
         self.concurrency_limit = INITIAL_CONCURRENCY_LIMIT
         self.current_class = 0
-        self.turns_left = 0
-        self.wakeups: list[tuple[int, int, Request | Backend]] = []
+        self.turns_left = 0  # requests that the current class may still send in its turn
+        self.wakeups: list[tuple[int, int, Request | Backend]] = []  # heap of (due, number, item)
         self.wakeup_count = 0
         self.next_wakeup_at = 0
-        # Quotas: this node's part of each tenant's rate, as a bucket of one second.
+        # Quotas: this node's part of each tenant's rate, in requests per nanosecond, as a token
+        # bucket that holds one second's tokens.
         self.quota_rates = [t.quota_per_s / settings.balancers / SECOND for t in settings.tenants]
         self.tenant_strides = [1.0 / max(t.share, 1e-6) for t in settings.tenants]
-        self.quota_tokens = [max(q * SECOND, 1.0) for q in self.quota_rates]
-        self.quota_tokens_at = [0] * tenants
+        self.quota_tokens = [max(rate * SECOND, 1.0) for rate in self.quota_rates]
+        self.quota_tokens_at = [0] * tenant_count
         self.retry_budget = self.max_retry_budget = RETRY_BUDGET_BURST_COUNT
-        # What several hosts share, by `parts`: most requests at each server, until when, and then.
+        # Slots at each backend that this node was granted where several hosts share a limit,
+        # until when the grant is valid, and the slots from then on; None is no limit.
         self.granted_slots: dict[int, int] | None = None
         self.granted_slots_after_expiry: dict[int, int] | None = None
         self.grant_expires_at = NEVER
-        self.instance_count = 1  # that send to the same backends with modules of their own
-        # Since the last cycle.
+        self.instance_count = 1  # instances that send to the same backends, each with a Balancer
+        # Counts since the last cycle.
         self.outcome_count = 0
         self.rejection_count = 0
         self.timeout_count = 0
-        self.target_ratio_sums = [0.0] * len(self.classes)
+        self.target_ratio_sums = [0.0] * len(self.classes)  # of latencies, in latency targets
         self.target_ratio_counts = [0.0] * len(self.classes)
         self.queued_in_cycle = False
         self.send_count = 0
-        self.send_rate = 0.0  # a second, smoothed
-        self.fleet_error_fraction = 0.0  # part of all late answers that were errors
-        self.ejected_count = 0  # ready backends ejected
+        self.send_rate = 0.0  # attempts per second, smoothed
+        self.fleet_error_fraction = 0.0  # smoothed fraction of all answers that were errors
+        self.ejected_count = 0  # ejected backends that the list calls ready
         self.ready_count = 0
         self.list_failure_count = 0
         self.list_call_pending = False
         self.log_silent_until = 0
         self.overloaded_until = 0
-        self.last_loss_at = 0  # the last refusal or strain, or the start
-        self.calm_count = 0.0  # requests so long after it that none was a further try ...
-        self.calm_late_count = 0.0  # ... and of them those that looked late all the same
-        self.is_one_of_many = False  # one of so many nodes that its own line tells little
+        self.last_loss_at = 0  # time of the last refusal, rejection or time-out, or of the start
+        # Requests that arrived so long after the last loss that none was a client's retry, and
+        # the number of them that looked late all the same.
+        self.calm_count = 0.0
+        self.calm_late_count = 0.0
+        # Whether the node is one of so many that its own queue says little about the load.
+        self.is_one_of_many = False
         columns = settings.load_columns
         self.queue_column = columns.index("q") if "q" in columns else -1
         own = settings.node % settings.zones == settings.zone % settings.zones
@@ -411,25 +455,29 @@
         self.zone_node_count = max(1, len(same) or -(-settings.balancers // settings.zones))
         self.zone_node_index = settings.node // settings.zones
 
-    # ---- start, list --------------------------------------------------
+    # ---- start, backend list ------------------------------------------
 
     def start(self, now: int) -> None:
+        """Set the first timers; to be called once, before any event."""
         self.now = self.last_loss_at = now
         self.quota_tokens_at = [now] * len(self.quota_rates)
         self.actions.set_timer(TIMER_CYCLE, now + self.random.randrange(CYCLE_NS // 2, CYCLE_NS))
         if self.settings.ask:
-            # Starts come together; the list service answers a fixed number of lines.
+            # Nodes start together, and the list service answers a fixed number of calls at a
+            # time, so the first calls are spread.
             spread = min(self.settings.ask_within // 4, self.settings.balancers * 100 * MS)
             self.actions.set_timer(TIMER_LIST, now + self.random.randrange(1, spread + 2))
 
     def on_backend_list(self, now: int, update: Update, rows: Sequence[Listing] = ()) -> None:
+        """Apply a backend list or a change of it; plan the next call if the call failed."""
         self.now = now
         if update == Update.FAILED:
             self.list_call_pending = False
             self.list_failure_count += 1
             self.log_limited(now, "list call failed")
-            # What happened meanwhile may count as told: the first repeats come soon, and two
-            # calls that fail in turn leave time for a third that does not, see LIST_RETRY.
+            # The node may count as informed of what happened meanwhile. The first repeats come
+            # soon, and after two calls in turn that fail there is time for a third one that
+            # does not, see LIST_BACKOFF_NS.
             wait = LIST_BACKOFF_NS << min(self.list_failure_count, 4)
             wait = min(
                 wait, MAX_LIST_BACKOFF_NS, max(self.settings.ask_within // 2, LIST_BACKOFF_NS)
@@ -442,9 +490,9 @@
             self.list_call_pending = False
             self.list_failure_count = 0
         if update != Update.DELTA:
-            named = {row.backend for row in rows}
+            listed = {row.backend for row in rows}
             for backend in self.backends.values():
-                if backend.id not in named:
+                if backend.id not in listed:
                     self.set_state(backend, State.GONE)
                     self.update_bucket(backend)
         for row in rows:
@@ -454,81 +502,88 @@
         self.assign_slots()
         self.dispatch(now)
 
-    def apply_listing(self, now: int, row: Listing, update: Update) -> None:
-        backend = self.backends.get(row.backend)
+    def apply_listing(self, now: int, listing: Listing, update: Update) -> None:
+        """Take one line of the list: a new backend, a new state, or a restart."""
+        backend = self.backends.get(listing.backend)
         if backend is None:
-            if row.state == State.GONE:
+            if listing.state == State.GONE:
                 return
-            backend = Backend(row, row.zone == self.settings.zone)
-            self.backends[row.backend] = backend
-            self.set_state(backend, row.state)
-            if row.started_at and now - row.started_at < self.settings.slow_start:
-                backend.slow_start_until = row.started_at + self.settings.slow_start
+            backend = Backend(listing, listing.zone == self.settings.zone)
+            self.backends[listing.backend] = backend
+            self.set_state(backend, listing.state)
+            if listing.started_at and now - listing.started_at < self.settings.slow_start:
+                backend.slow_start_until = listing.started_at + self.settings.slow_start
         else:
-            if row.state != State.GONE and row.started_at and row.started_at != backend.started_at:
-                backend.started_at = row.started_at
+            if listing.state != State.GONE and listing.started_at and listing.started_at != backend.started_at:
+                backend.started_at = listing.started_at
                 backend.slow_start_until = max(
-                    backend.slow_start_until, row.started_at + self.settings.slow_start
+                    backend.slow_start_until, listing.started_at + self.settings.slow_start
                 )
                 if backend.ejected_until:
                     self.end_ejection(backend)
-            self.set_state(backend, row.state)
-            if row.state != State.GONE:
-                backend.weight = row.weight if row.weight > 0 else 1.0
+            self.set_state(backend, listing.state)
+            if listing.state != State.GONE:
+                backend.weight = listing.weight if listing.weight > 0 else 1.0
         self.update_bucket(backend)
 
-    def ban(self, now: int, backend: int) -> None:
-        """Send a backend nothing new, whatever the list says, until `lift`; it may be unknown.
+    def ban(self, now: int, backend_id: int) -> None:
+        """Send a backend nothing new, whatever the list says, until `lift_ban`.
 
-        It is treated as one that drains: what it holds goes on to its outcome.
+        A banned backend is treated as one that drains: its attempts go on to their outcomes.
+        The backend may be unknown yet.
         """
-        self.banned.add(backend)
-        self.reapply_listed_state(now, backend)
-
-    def lift_ban(self, now: int, backend: int) -> None:
-        """End a ban. Nobody bans a backend but to restart it: it comes back cold."""
-        b = self.backends.get(backend)
-        if b is not None and backend in self.banned:
-            b.slow_start_until = max(b.slow_start_until, now + self.settings.slow_start)
-        self.banned.discard(backend)
-        self.reapply_listed_state(now, backend)
-
-    def reapply_listed_state(self, now: int, backend: int) -> None:
+        self.banned.add(backend_id)
+        self.reapply_listed_state(now, backend_id)
+
+    def lift_ban(self, now: int, backend_id: int) -> None:
+        """End a ban. Operators ban a backend to restart it, so it returns in slow start."""
+        backend = self.backends.get(backend_id)
+        if backend is not None and backend_id in self.banned:
+            backend.slow_start_until = max(backend.slow_start_until, now + self.settings.slow_start)
+        self.banned.discard(backend_id)
+        self.reapply_listed_state(now, backend_id)
+
+    def reapply_listed_state(self, now: int, backend_id: int) -> None:
+        """Set a backend's state anew after its ban began or ended."""
         self.now = now
-        b = self.backends.get(backend)
-        if b is not None:
-            self.set_state(b, b.listed_state)
-            self.update_bucket(b)
+        backend = self.backends.get(backend_id)
+        if backend is not None:
+            self.set_state(backend, backend.listed_state)
+            self.update_bucket(backend)
             self.assign_slots()
             self.dispatch(now)
 
-    def set_state(self, b: Backend, state: State) -> None:
-        """Only ready backends count as ejected, against half of the ready ones."""
-        b.listed_state = state
-        if state == State.READY and b.id in self.banned:
+    def set_state(self, backend: Backend, state: State) -> None:
+        """Set the state that the list tells; a ban turns ready into draining.
+
+        Only ready backends count as ejected: at most half of the ready ones may be.
+        """
+        backend.listed_state = state
+        if state == State.READY and backend.id in self.banned:
             state = State.DRAINING
-        b.state = state
-        if state != State.READY and b.ejected_until:
-            b.ejected_until = 0
+        backend.state = state
+        if state != State.READY and backend.ejected_until:
+            backend.ejected_until = 0
             self.ejected_count -= 1
 
-    def forget_if_gone(self, b: Backend) -> None:
+    def forget_if_gone(self, backend: Backend) -> None:
         """Forget a backend that has gone, once its last attempt has its outcome.
 
-        Backends come under ever new ids: kept, each would cost memory and a look at it
-        twice a second, for good. One that comes back under its id begins anew.
+        New backends come under new ids all the time: if the old ones were kept, each would
+        cost memory, and time in every cycle, for good. A backend that returns under its old
+        id starts with no history.
         """
-        if b.state == State.GONE and not b.in_flight:
-            self.update_bucket(b)
-            self.backends.pop(b.id, None)
+        if backend.state == State.GONE and not backend.in_flight:
+            self.update_bucket(backend)
+            self.backends.pop(backend.id, None)
 
     def assign_slots(self) -> None:
-        """Deal every backend's slots to the nodes in turn (the paper's eqs. 5 and 6).
+        """Assign every backend's slots to the nodes in turn (the paper's equations 5 and 6).
 
-        The paper splits N_s among gateways in proportion to w_g. With more
-        gateways than slots the integer nearest most parts is 0, so each node
-        takes the backends whose turn falls on it. Ranks in the sorted list are
-        the same at every node that holds the same list, so no word is needed.
+        The paper splits N_s among gateways in proportion to w_g. With more gateways than
+        slots, the nearest integer of most parts is 0, so each node takes the backends whose
+        turn falls on it instead. All nodes that hold the same list compute the same ranks,
+        so they need not exchange anything.
         """
         settings = self.settings
         zones: dict[int, list[Backend]] = {}
@@ -536,96 +591,114 @@
             if backend.state == State.READY:
                 zones.setdefault(backend.zone, []).append(backend)
         self.ready_count = 0
-        others = max(1, settings.balancers - self.zone_node_count)
-        remote = sum(len(rows) for zone, rows in zones.items() if zone != settings.zone)
-        far = 0
+        remote_node_count = max(1, settings.balancers - self.zone_node_count)
+        remote_backend_count = sum(
+            len(members) for zone, members in zones.items() if zone != settings.zone
+        )
+        remote_rank = 0
         for zone in sorted(zones):
-            rows = sorted(zones[zone], key=lambda b: b.id)
-            self.ready_count += len(rows)
-            for rank, backend in enumerate(rows):
-                # Rounded up everywhere, a limit just over 2 would deal three slots.
+            members = sorted(zones[zone], key=lambda b: b.id)
+            self.ready_count += len(members)
+            for rank, backend in enumerate(members):
+                # If every backend rounded its limit up, a limit just over 2 would give each
+                # backend three slots.
                 backend.rounding_offset = rank * ROUNDING_OFFSET_STEP % 1.0
                 if backend.is_local:
                     backend.slot_offset = (
-                        self.zone_node_index - first_node(rank, len(rows), self.zone_node_count)
+                        self.zone_node_index - first_node(rank, len(members), self.zone_node_count)
                     ) % (self.zone_node_count)
                 else:
-                    backend.slot_offset = (settings.node - first_node(far, remote, others)) % others
-                    far += 1
+                    backend.slot_offset = (
+                        settings.node
+                        - first_node(remote_rank, remote_backend_count, remote_node_count)
+                    ) % remote_node_count
+                    remote_rank += 1
         self.update_slot_limits()
 
     def update_slot_limits(self) -> None:
+        """Compute this node's slots at every ready backend from the concurrency limit."""
         settings = self.settings
-        local = sum(1 for b in self.backends.values() if b.is_local and b.state == State.READY)
+        local_count = sum(
+            1 for b in self.backends.values() if b.is_local and b.state == State.READY
+        )
         limit = self.concurrency_limit
         self.is_one_of_many = (
-            MIN_SLOTS_PER_NODE * self.zone_node_count >= MANY_NODES_SLOTS_PER_BACKEND * local > 0
+            MIN_SLOTS_PER_NODE * self.zone_node_count
+            >= MANY_NODES_SLOTS_PER_BACKEND * local_count
+            > 0
         )
-        if local:
-            limit = max(limit, MIN_SLOTS_PER_NODE * self.zone_node_count / local)
-        spill = limit * REMOTE_LIMIT_FRACTION
-        others = max(1, settings.balancers - self.zone_node_count)
-        many = settings.balancers > self.zone_node_count  # others than those that are near
+        if local_count:
+            limit = max(limit, MIN_SLOTS_PER_NODE * self.zone_node_count / local_count)
+        remote_limit = limit * REMOTE_LIMIT_FRACTION
+        remote_node_count = max(1, settings.balancers - self.zone_node_count)
+        has_remote_nodes = settings.balancers > self.zone_node_count
         total = 0
         for backend in self.backends.values():
             if backend.state != State.READY:
                 continue
-            depth = limit if backend.is_local else spill
+            depth = limit if backend.is_local else remote_limit
             if backend.latency_ratio > SLOW_BACKEND_LATENCY_RATIO:
                 depth = min(depth, max(1.0, depth / backend.latency_ratio))
             if backend.slow_start_until > self.now:
-                # At two slots for the whole slow start a rolling release left a
-                # zone of half-warm backends idle and its nodes short of slots.
+                # With two slots for all of the slow start, a rolling release left a zone of
+                # half-warm backends idle and its nodes short of slots.
                 depth = min(
                     depth, max(MIN_SLOW_START_SLOT_COUNT, depth * self.warm_fraction(backend))
                 )
-            nodes = self.zone_node_count if backend.is_local else others
-            # Near and far nodes share one cold budget as they share the limit.
+            node_count = self.zone_node_count if backend.is_local else remote_node_count
+            # Local and remote nodes share one slow-start budget in the same proportion as they
+            # share the limit.
             part = (
                 (1.0 if backend.is_local else REMOTE_LIMIT_FRACTION) / (1.0 + REMOTE_LIMIT_FRACTION)
-                if many
+                if has_remote_nodes
                 else 1.0
             )
-            backend.slow_start_node_count = max(1, min(int(depth + 1.0), nodes)) / part
+            backend.slow_start_node_count = max(1, min(int(depth + 1.0), node_count)) / part
             depth = int(depth + backend.rounding_offset)
-            cap = -(-(depth - backend.slot_offset) // nodes) if depth > backend.slot_offset else 0
+            slot_limit = (
+                -(-(depth - backend.slot_offset) // node_count)
+                if depth > backend.slot_offset
+                else 0
+            )
             if self.granted_slots is not None:
-                cap = min(cap, self.granted_slots.get(backend.id, 0))
-            backend.slot_limit = cap
-            total += cap
+                slot_limit = min(slot_limit, self.granted_slots.get(backend.id, 0))
+            backend.slot_limit = slot_limit
+            total += slot_limit
             self.update_bucket(backend)
         self.total_slots = max(total, 1)
 
-    def update_bucket(self, b: Backend) -> None:
-        """Put a backend into the bucket of what it holds, or in none if not free."""
-        if b.abandoned_until:
-            b.abandoned_until = tuple(end for end in b.abandoned_until if end > self.now)
+    def update_bucket(self, backend: Backend) -> None:
+        """Put a backend into the bucket of its requests in flight, or into none if not free."""
+        if backend.abandoned_until:
+            backend.abandoned_until = tuple(
+                end for end in backend.abandoned_until if end > self.now
+            )
         free = (
-            b.state == State.READY
-            and b.in_flight + len(b.abandoned_until)
-            < (min(b.slot_limit, 1) if b.half_open else b.slot_limit)
-            and not b.stalled
-            and not b.ejected_until
-            and b.paused_until <= self.now
+            backend.state == State.READY
+            and backend.in_flight + len(backend.abandoned_until)
+            < (min(backend.slot_limit, 1) if backend.half_open else backend.slot_limit)
+            and not backend.stalled
+            and not backend.ejected_until
+            and backend.paused_until <= self.now
         )
         bucket = None
         if free:
-            pool = self.local_buckets if b.is_local else self.remote_buckets
-            while len(pool) <= b.in_flight:
-                pool.append([])
-            bucket = pool[b.in_flight]
-        old = b.bucket
-        if old is bucket:
+            buckets = self.local_buckets if backend.is_local else self.remote_buckets
+            while len(buckets) <= backend.in_flight:
+                buckets.append([])
+            bucket = buckets[backend.in_flight]
+        old_bucket = backend.bucket
+        if old_bucket is bucket:
             return
-        if old is not None:
-            last = old.pop()
-            if last is not b:
-                old[b.index] = last
-                last.index = b.index
+        if old_bucket is not None:
+            last = old_bucket.pop()
+            if last is not backend:
+                old_bucket[backend.index] = last
+                last.index = backend.index
         if bucket is not None:
-            b.index = len(bucket)
-            bucket.append(b)
-        b.bucket = bucket
+            backend.index = len(bucket)
+            bucket.append(backend)
+        backend.bucket = bucket
 
     # ---- requests -----------------------------------------------------
 
@@ -641,383 +714,435 @@
         client_retry: bool = False,
         read_delay: int = 0,
     ) -> None:
-        """Take a request; `left` is what its client has left after `waited` unread here."""
+        """Take a new request.
+
+        `time_left` is the time until the client gives up, `read_delay` the time that the
+        request waited at this host before it was read. Raises ValueError where the class or
+        the tenant is unknown.
+        """
         self.now = now
         if not 0 <= cls < len(self.classes):
             raise ValueError(f"unknown request class {cls}")
         if request in self.requests:
-            return  # told twice: one answer is owed, not two
-        c = self.classes[cls]
-        r = Request(request, c, now, time_left, tenant)
-        if c.spec.target_stretch and hint:
-            r.target_at = now + min(
-                c.latency_target + int(c.spec.target_stretch * hint), c.spec.deadline
+            return  # reported twice: the client gets one answer, not two
+        class_state = self.classes[cls]
+        pending = Request(request, class_state, now, time_left, tenant)
+        if class_state.spec.target_stretch and hint:
+            pending.target_at = now + min(
+                class_state.latency_target + int(class_state.spec.target_stretch * hint),
+                class_state.spec.deadline,
             )
-        r.hint = hint
-        self.requests[request] = r
-        c.arrival_count += 1
-        elapsed = c.estimate_elapsed(time_left + read_delay)
+        pending.hint = hint
+        self.requests[request] = pending
+        class_state.arrival_count += 1
+        elapsed = class_state.estimate_elapsed(time_left + read_delay)
         if read_delay > self.settings.tick:
-            # A host that lags behind tells later of all requests alike. Taken for
-            # the clients' own time that would hide who comes for the first time.
+            # A host that lags reports all of its requests late. If that delay were taken for
+            # time that the clients spent, first tries could not be told from later ones.
             elapsed += read_delay
-        late = elapsed > 0 and elapsed + c.mean_latency >= c.latency_target
-        if now > self.last_loss_at + c.spec.deadline:
+        late = elapsed > 0 and elapsed + class_state.mean_latency >= class_state.latency_target
+        if now > self.last_loss_at + class_state.spec.deadline:
             self.calm_count += 1
             self.calm_late_count += late
         if elapsed:
-            r.target_at -= elapsed
+            pending.target_at -= elapsed
             if late:
-                # Late by its first try whatever is done: clients that keep coming
-                # must not hold the slots that those in time need.
-                r.target_at = now + c.latency_target
-                r.low_priority = True
-                if c.spec.late_value <= 0 and self.should_refuse_late(now):
-                    # Here nobody may wait behind it, and at the servers others do: 200 nodes
-                    # that each had a slot free for it served one in eight late, and the
-                    # next first tries were refused, came again and were late in their turn.
-                    # A node with a good part of the traffic has those others in its own line,
-                    # and the guess may be wrong: two nodes refused 40 of 100 by it.
-                    self.refuse_or_fail(r)
+                # The answer is late, counted from the client's first try, whatever is done:
+                # clients that keep retrying must not hold the slots that requests in time need.
+                pending.target_at = now + class_state.latency_target
+                pending.low_priority = True
+                if class_state.spec.late_value <= 0 and self.should_refuse_late(now):
+                    # Nobody may wait behind this request at this node, but others do at the
+                    # backends: 200 nodes that each had a free slot for such requests served one
+                    # in eight late; the next first tries were refused, came again and were late
+                    # in turn. A node with a good part of the traffic has those others in its
+                    # own queue, and the guess that a request is late may be wrong: two nodes
+                    # refused 40 of 100 requests because of it.
+                    self.refuse_or_fail(pending)
                     return
-        slack = min(r.target_at, r.deadline_at) - now - int(c.mean_latency)
-        r.wait_until = now + max(int(slack * MAX_QUEUE_WAIT_FRACTION), 0)
+        slack = min(pending.target_at, pending.deadline_at) - now - int(class_state.mean_latency)
+        pending.wait_until = now + max(int(slack * MAX_QUEUE_WAIT_FRACTION), 0)
         if self.quota_rates:
-            r.low_priority = self.exceeds_quota(now, tenant) or r.low_priority
+            pending.low_priority = self.exceeds_quota(now, tenant) or pending.low_priority
         if (
             client_retry
-            and c.spec.late_value <= 0
-            and self.settings.max_retry_after > c.latency_target
+            and class_state.spec.late_value <= 0
+            and self.settings.max_retry_after > class_state.latency_target
         ):
-            # Told to stay away for longer than its aim, a client that comes again
-            # is late by its first try: its answer is worth least.
-            r.low_priority = True
-        self.enqueue(r, False)
+            # A client that was told to wait for longer than its latency target is late,
+            # counted from its first try, when it retries: its answer has the least value.
+            pending.low_priority = True
+        self.enqueue(pending, False)
         self.dispatch(now)
-        if r.queued:
+        if pending.queued:
             self.queued_in_cycle = True
-            self.schedule_wakeup(r.wait_until, r)
+            self.schedule_wakeup(pending.wait_until, pending)
 
     def should_refuse_late(self, now: int) -> bool:
-        """Whether servers are short and what looks late is a further try, not a client in haste.
+        """Whether a request that looks late is to be refused at once.
 
-        Where a fifth of the clients had little time from the first, a quarter of all first
-        tries was refused beside free slots.
+        That is so while backends are overloaded, at a node that is one of many, unless clients
+        set short deadlines from the start. Where a fifth of the clients had little time left
+        from the start, a quarter of all first tries was refused beside free slots.
         """
-        hasty = self.calm_late_count >= max(
+        short_deadlines = self.calm_late_count >= max(
             SHORT_DEADLINE_MIN_COUNT, SHORT_DEADLINE_MIN_FRACTION * self.calm_count
         )
-        return self.is_one_of_many and now < self.overloaded_until and not hasty
+        return self.is_one_of_many and now < self.overloaded_until and not short_deadlines
 
     def exceeds_quota(self, now: int, tenant: int) -> bool:
-        """Whether a tenant's request exceeds this node's part of its quota."""
+        """Take a token of a tenant's quota at this node; return whether the quota was used up.
+
+        Raises ValueError where the tenant is unknown.
+        """
         if not 0 <= tenant < len(self.quota_rates):
             raise ValueError(f"unknown tenant {tenant}")
         rate = self.quota_rates[tenant]
         burst = max(rate * SECOND, 1.0)
-        credit = min(burst, self.quota_tokens[tenant] + rate * (now - self.quota_tokens_at[tenant]))
+        tokens = min(burst, self.quota_tokens[tenant] + rate * (now - self.quota_tokens_at[tenant]))
         self.quota_tokens_at[tenant] = now
-        over = credit < 1.0
-        self.quota_tokens[tenant] = credit if over else credit - 1.0
-        return over and rate > 0
-
-    def enqueue(self, r: Request, front: bool) -> None:
-        c = r.cls
-        r.queued = True
-        if r.low_priority:
+        exceeded = tokens < 1.0
+        self.quota_tokens[tenant] = tokens if exceeded else tokens - 1.0
+        return exceeded and rate > 0
+
+    def enqueue(self, request: Request, at_front: bool) -> None:
+        """Add a request to the queue of its class and tenant, or to the low-priority queue."""
+        class_state = request.cls
+        request.queued = True
+        if request.low_priority:
             self.waiting_low_priority += 1
-            c.waiting_low_priority += 1
-            line = c.low_priority_queue
+            class_state.waiting_low_priority += 1
+            queue = class_state.low_priority_queue
         else:
             self.waiting += 1
-            c.waiting += 1
-            t = r.tenant if self.quota_rates else 0
-            line = c.queues_by_tenant[t]
-            if self.quota_rates and not c.waiting_by_tenant[t]:
-                # A tenant that comes back does not bring old turns with it.
-                c.passes_by_tenant[t] = max(c.passes_by_tenant[t], c.virtual_time)
-            c.waiting_by_tenant[t] += 1
-        if front:
-            line.appendleft(r)
+            class_state.waiting += 1
+            tenant = request.tenant if self.quota_rates else 0
+            queue = class_state.queues_by_tenant[tenant]
+            if self.quota_rates and not class_state.waiting_by_tenant[tenant]:
+                # A tenant that was idle must not save up turns for later.
+                class_state.passes_by_tenant[tenant] = max(
+                    class_state.passes_by_tenant[tenant], class_state.virtual_time
+                )
+            class_state.waiting_by_tenant[tenant] += 1
+        if at_front:
+            queue.appendleft(request)
         else:
-            line.append(r)
+            queue.append(request)
 
-    def dequeue(self, r: Request) -> None:
-        """Count a request out of its line; its place there is dropped when met."""
-        c = r.cls
-        r.queued = False
-        if r.low_priority:
+    def dequeue(self, request: Request) -> None:
+        """Mark a request as queued no more; its entry is dropped when it reaches the front."""
+        class_state = request.cls
+        request.queued = False
+        if request.low_priority:
             self.waiting_low_priority -= 1
-            c.waiting_low_priority -= 1
-            line = c.low_priority_queue
+            class_state.waiting_low_priority -= 1
+            queue = class_state.low_priority_queue
         else:
             self.waiting -= 1
-            c.waiting -= 1
-            t = r.tenant if self.quota_rates else 0
-            c.waiting_by_tenant[t] -= 1
-            line = c.queues_by_tenant[t]
-        while line and not line[0].queued:
-            line.popleft()  # else a line that is seldom served keeps all that gave up
-
-    def take_next_request(self, c: ClassState, over: bool) -> Request:
-        """Next request of a class: tenants in turn by portion, beyond quota behind."""
-        line = c.low_priority_queue
-        if not over:
-            t = 0
+            class_state.waiting -= 1
+            tenant = request.tenant if self.quota_rates else 0
+            class_state.waiting_by_tenant[tenant] -= 1
+            queue = class_state.queues_by_tenant[tenant]
+        while queue and not queue[0].queued:
+            queue.popleft()  # without this, a queue that is seldom served keeps all ended requests
+
+    def take_next_request(self, class_state: ClassState, low_priority: bool) -> Request:
+        """Remove the next request of a class: tenants take turns by their shares."""
+        queue = class_state.low_priority_queue
+        if not low_priority:
+            tenant = 0
             if self.quota_rates:
-                best = INFINITE
-                for i, n in enumerate(c.waiting_by_tenant):
-                    if n and c.passes_by_tenant[i] < best:
-                        best, t = c.passes_by_tenant[i], i
-                c.virtual_time = best
-                c.passes_by_tenant[t] += self.tenant_strides[t]
-            line = c.queues_by_tenant[t]
+                lowest_pass = INFINITE
+                for i, count in enumerate(class_state.waiting_by_tenant):
+                    if count and class_state.passes_by_tenant[i] < lowest_pass:
+                        lowest_pass, tenant = class_state.passes_by_tenant[i], i
+                class_state.virtual_time = lowest_pass
+                class_state.passes_by_tenant[tenant] += self.tenant_strides[tenant]
+            queue = class_state.queues_by_tenant[tenant]
         while True:
-            r = line.popleft()
-            if r.queued:
-                self.dequeue(r)
-                return r
+            request = queue.popleft()
+            if request.queued:
+                self.dequeue(request)
+                return request
 
-    def select_next_class(self, over: bool) -> ClassState:
-        """Weighted round robin; a class under its share goes before one above it."""
+    def select_next_class(self, low_priority: bool) -> ClassState:
+        """Weighted round robin: a class under its share goes before one that has reached it."""
         classes = self.classes
-        n = len(classes)
-        start = self.current_class if self.turns_left > 0 else (self.current_class + 1) % n
-        spare = None
-        for step in range(n):
-            i = (start + step) % n
-            c = classes[i]
-            if c.waiting_low_priority if over else c.waiting:
-                if c.in_flight < c.share:
+        class_count = len(classes)
+        start = (
+            self.current_class if self.turns_left > 0 else (self.current_class + 1) % class_count
+        )
+        fallback = None
+        for step in range(class_count):
+            i = (start + step) % class_count
+            class_state = classes[i]
+            if class_state.waiting_low_priority if low_priority else class_state.waiting:
+                if class_state.in_flight < class_state.share:
                     return self.start_class_turn(i)
-                if spare is None:
-                    spare = i
-        assert spare is not None
-        return self.start_class_turn(spare)
+                if fallback is None:
+                    fallback = i
+        assert fallback is not None
+        return self.start_class_turn(fallback)
 
     def start_class_turn(self, i: int) -> ClassState:
-        c = self.classes[i]
+        """Count one turn of class `i`, which begins a new round of turns if it was not current."""
+        class_state = self.classes[i]
         if i != self.current_class or self.turns_left <= 0:
             self.current_class = i
-            self.turns_left = c.share
+            self.turns_left = class_state.share
         self.turns_left -= 1
-        return c
+        return class_state
 
     def dispatch(self, now: int) -> None:
+        """Send queued requests while there are free slots."""
         if now > self.grant_expires_at:
-            # Looked at here, before any send: a host that was stopped must not go by old parts.
+            # Checked here, before any send: a host that was stopped for a while must not use
+            # slots whose grant has expired.
             self.grant_expires_at = NEVER
             self.granted_slots = self.granted_slots_after_expiry
             self.update_slot_limits()
         while self.in_flight < self.total_slots:
-            over = False
+            low_priority = False
             if not self.waiting:
                 if not self.waiting_low_priority:
                     return
-                over = True
+                low_priority = True
             backend = self.pick_backend(now)
             if backend is None:
                 return
-            r = self.take_next_request(self.select_next_class(over), over)
-            # A repeat's window may close while it waits for a slot.
-            if now > r.wait_until or (r.attempts and not self.may_retry(now, r)):
-                self.refuse_or_fail(r)
+            request = self.take_next_request(self.select_next_class(low_priority), low_priority)
+            # The retry window of a keyed request may close while it waits for a slot.
+            if now > request.wait_until or (request.attempts and not self.may_retry(now, request)):
+                self.refuse_or_fail(request)
                 continue
-            target = self.choose_backend_for(now, r, backend)
+            target = self.choose_backend_for(now, request, backend)
             if target is None:
-                self.refuse_or_fail(r)
+                self.refuse_or_fail(request)
             else:
-                self.start_attempt(now, r, target)
+                self.start_attempt(now, request, target)
 
-    def pick_backend(self, now: int, sound: bool = False) -> Backend | None:
-        """Fewest in flight among free backends, own zone first; ties by last answers.
+    def pick_backend(self, now: int, reliable_only: bool = False) -> Backend | None:
+        """Pick the free backend with the fewest requests in flight, in the own zone first.
 
-        With `sound` one that is not in doubt, where any is free.
+        Among several of them, the one with the lowest cost of some random candidates is
+        picked. With `reliable_only`, backends that are unreliable are passed over.
         """
-        for pool in (self.local_buckets, self.remote_buckets):
-            for bucket in pool:
+        for buckets in (self.local_buckets, self.remote_buckets):
+            for bucket in buckets:
                 while bucket:
                     n = len(bucket)
                     best = bucket[int(self.random.random() * n)]
                     if n > 1:
-                        cost = best.cost if now - best.last_outcome_at < COST_VALID_NS else 1.0
+                        lowest_cost = (
+                            best.cost if now - best.last_outcome_at < COST_VALID_NS else 1.0
+                        )
                         for _ in range(CANDIDATE_COUNT - 1):
                             other = bucket[int(self.random.random() * n)]
-                            c = other.cost if now - other.last_outcome_at < COST_VALID_NS else 1.0
-                            if c < cost:
-                                best, cost = other, c
+                            cost = (
+                                other.cost if now - other.last_outcome_at < COST_VALID_NS else 1.0
+                            )
+                            if cost < lowest_cost:
+                                best, lowest_cost = other, cost
                     if best.in_flight and now - best.silent_since > self.stall_timeout():
-                        # A hung backend with room left must not collect more.
+                        # A hung backend that has free slots must not get further requests.
                         best.stalled = True
                         self.update_bucket(best)
                         continue
-                    if sound and best.is_unreliable(now):
-                        # Failing at once it holds fewest, and would get everything.
-                        other_one = next((b for b in bucket if not b.is_unreliable(now)), None)
-                        if other_one is None:
+                    if reliable_only and best.is_unreliable(now):
+                        # A backend that fails at once has the fewest requests in flight, and
+                        # would get all requests.
+                        reliable = next((b for b in bucket if not b.is_unreliable(now)), None)
+                        if reliable is None:
                             break
-                        best = other_one
+                        best = reliable
                     return best
         return None
 
     def stall_timeout(self) -> float:
+        """Silence, in nanoseconds, after which a backend with requests in flight is stalled."""
         return STALL_LATENCY_RATIO * max(c.mean_latency for c in self.classes)
 
-    def choose_backend_for(self, now: int, r: Request, backend: Backend) -> Backend | None:
-        """A further attempt goes elsewhere than the last where it can."""
-        if not r.attempts:
-            if r.cls.effect != Effect.PURE and backend.is_unreliable(now):
-                # What may not be repeated is lost where it fails; the others find out.
-                return self.pick_backend(now, sound=True) or backend
+    def choose_backend_for(self, now: int, request: Request, backend: Backend) -> Backend | None:
+        """Replace the picked backend where the request's rules ask for another one.
+
+        A retry goes to a backend that the request has not tried, if there is one. None where a
+        keyed request has no backend left that knows its key.
+        """
+        if not request.attempts:
+            if request.cls.effect != Effect.PURE and backend.is_unreliable(now):
+                # A request that must not be repeated is lost where it fails. Requests that may
+                # be repeated find out whether the backend has recovered.
+                return self.pick_backend(now, reliable_only=True) or backend
             return backend
         if (
-            r.first_maybe_run is not None
-            and r.cls.effect == Effect.TOKEN
-            and r.cls.spec.scope != Scope.ALL
+            request.first_maybe_run is not None
+            and request.cls.effect == Effect.TOKEN
+            and request.cls.spec.scope != Scope.ALL
         ):
-            return self.pick_in_dedup_scope(r)
+            return self.pick_in_dedup_scope(request)
         for _ in range(CANDIDATE_COUNT):
-            if all(a.backend is not backend for a in r.attempts):
+            if all(attempt.backend is not backend for attempt in request.attempts):
                 break
-            other = self.pick_backend(now, sound=True)
+            other = self.pick_backend(now, reliable_only=True)
             if other is not None:
                 backend = other
         return backend
 
-    def pick_in_dedup_scope(self, r: Request) -> Backend | None:
-        """The repeat of a keyed request must reach those that know its key.
+    def pick_in_dedup_scope(self, request: Request) -> Backend | None:
+        """Pick a backend that knows the key of a keyed request from its first attempt.
 
-        None where no ready backend of the group is left: the first one may be
-        draining by now and must not get the repeat either.
+        None where no ready backend of that zone or cell is left: the first one may be draining
+        by now and must not get the retry either.
         """
-        assert r.first_maybe_run is not None
-        first = r.first_maybe_run.backend
-        zone = r.cls.spec.scope == Scope.ZONE
+        assert request.first_maybe_run is not None
+        first = request.first_maybe_run.backend
+        by_zone = request.cls.spec.scope == Scope.ZONE
         free = [
             b
             for b in self.backends.values()
             if b.state == State.READY
             and not b.ejected_until
-            and (b.zone == first.zone if zone else b.cell == first.cell)
+            and (b.zone == first.zone if by_zone else b.cell == first.cell)
         ]
         return min(free, key=lambda b: (b is first, b.in_flight, b.id)) if free else None
 
-    def start_attempt(self, now: int, r: Request, b: Backend) -> None:
-        c = r.cls
-        end = r.deadline_at
-        if c.spec.late_value <= 0:
-            end = min(end, r.target_at - int(c.latency_target * TARGET_MARGIN_FRACTION))
-        limit = max(end - now, MS)
-        if not r.attempts:
+    def start_attempt(self, now: int, request: Request, backend: Backend) -> None:
+        """Send a request to a backend, with the time-out that its rules and budget allow."""
+        class_state = request.cls
+        end = request.deadline_at
+        if class_state.spec.late_value <= 0:
+            end = min(
+                end, request.target_at - int(class_state.latency_target * TARGET_MARGIN_FRACTION)
+            )
+        timeout = max(end - now, MS)
+        if not request.attempts:
             self.retry_budget = min(
                 self.retry_budget + RETRY_BUDGET_FRACTION, self.max_retry_budget
             )
-        if c.effect == Effect.PURE and len(r.attempts) + 1 < self.settings.max_attempts:
-            patience = int(
+        if (
+            class_state.effect == Effect.PURE
+            and len(request.attempts) + 1 < self.settings.max_attempts
+        ):
+            retry_timeout = int(
                 max(
-                    ATTEMPT_TIMEOUT_LATENCY_RATIO * c.mean_latency,
-                    ATTEMPT_TIMEOUT_MIN_TARGET_FRACTION * c.latency_target,
+                    ATTEMPT_TIMEOUT_LATENCY_RATIO * class_state.mean_latency,
+                    ATTEMPT_TIMEOUT_MIN_TARGET_FRACTION * class_state.latency_target,
                 )
             )
             if self.retry_budget >= 1.0:
-                limit = min(limit, patience)
-        r.attempts.append(Attempt(b, now))
-        r.attempts_in_flight += 1
-        c.in_flight += 1
+                timeout = min(timeout, retry_timeout)
+        request.attempts.append(Attempt(backend, now))
+        request.attempts_in_flight += 1
+        class_state.in_flight += 1
         self.in_flight += 1
         self.send_count += 1
-        if not b.in_flight:
-            b.silent_since = now
-        b.in_flight += 1
-        if b.slow_start_until > now:
-            self.pace_slow_start(now, b)
-        self.update_bucket(b)
-        self.actions.send(r.id, b.id, limit)
-
-    def pace_slow_start(self, now: int, b: Backend) -> None:
-        """Space out what a cold backend gets, to this node's part of its budget."""
-        s = self.settings
-        usual = self.send_rate * s.balancers / max(self.ready_count, 1)
-        rate = SLOW_START_BUDGET_FRACTION * s.overload_factor * self.warm_fraction(b) * usual
-        most = s.overload_window * self.instance_count
-        gap = most if rate <= 0 else min(int(SECOND * b.slow_start_node_count / rate), most)
-        b.paused_until = now + gap
-        self.schedule_wakeup(b.paused_until, b)
-
-    def warm_fraction(self, b: Backend) -> float:
-        """The part of its capacity a cold backend is guessed to have by now."""
-        s = self.settings
-        warm = 1.0 - (b.slow_start_until - self.now) / max(s.slow_start, 1)
-        return s.slow_start_fraction + (1.0 - s.slow_start_fraction) * max(0.0, min(1.0, warm))
+        if not backend.in_flight:
+            backend.silent_since = now
+        backend.in_flight += 1
+        if backend.slow_start_until > now:
+            self.pace_slow_start(now, backend)
+        self.update_bucket(backend)
+        self.actions.send(request.id, backend.id, timeout)
+
+    def pace_slow_start(self, now: int, backend: Backend) -> None:
+        """Pause a backend in slow start, so that it gets only this node's part of its budget."""
+        settings = self.settings
+        usual_rate = self.send_rate * settings.balancers / max(self.ready_count, 1)
+        rate = (
+            SLOW_START_BUDGET_FRACTION
+            * settings.overload_factor
+            * self.warm_fraction(backend)
+            * usual_rate
+        )
+        longest = settings.overload_window * self.instance_count
+        pause = (
+            longest
+            if rate <= 0
+            else min(int(SECOND * backend.slow_start_node_count / rate), longest)
+        )
+        backend.paused_until = now + pause
+        self.schedule_wakeup(backend.paused_until, backend)
+
+    def warm_fraction(self, backend: Backend) -> float:
+        """The part of its capacity that a backend in slow start is expected to have by now."""
+        settings = self.settings
+        elapsed = 1.0 - (backend.slow_start_until - self.now) / max(settings.slow_start, 1)
+        return settings.slow_start_fraction + (1.0 - settings.slow_start_fraction) * max(
+            0.0, min(1.0, elapsed)
+        )
 
     def schedule_wakeup(self, due: int, item: Request | Backend) -> None:
-        """Look at a queued request or a resting backend again at `due`."""
+        """Look at a queued request or a paused or ejected backend again at `due`."""
         self.wakeup_count += 1
         heappush(self.wakeups, (due, self.wakeup_count, item))
         if not self.next_wakeup_at or due < self.next_wakeup_at:
             self.next_wakeup_at = due
             self.actions.set_timer(TIMER_WAKE, due)
 
-    def refuse_or_fail(self, r: Request) -> None:
-        """The final answer without service: refused where harmless, else failed."""
-        if r.ended:
+    def refuse_or_fail(self, request: Request) -> None:
+        """Answer a request without service: refuse it where a retry is harmless, else fail it."""
+        if request.ended:
             return
-        r.ended = True
-        if not r.low_priority and not r.half_closed_at:
-            r.cls.refused_count += 1
+        request.ended = True
+        if not request.low_priority and not request.half_closed_at:
+            request.cls.refused_count += 1
         self.last_loss_at = self.now
-        if not r.attempts_in_flight:
-            self.requests.pop(r.id, None)
-        if self.may_refuse(r):
-            self.actions.refuse(r.id, self.retry_after(r))
+        if not request.attempts_in_flight:
+            self.requests.pop(request.id, None)
+        if self.may_refuse(request):
+            self.actions.refuse(request.id, self.retry_after(request))
         else:
-            self.actions.fail(r.id)
+            self.actions.fail(request.id)
 
-    def retry_after(self, r: Request) -> int:
-        """How long a refused client should wait.
+    def retry_after(self, request: Request) -> int:
+        """How long the client of a refused request is told to wait, in nanoseconds.
 
-        Told to wait past its aim, a client comes back with a try that is late
-        whatever is done. Where such tries carry no mark they take slots from
-        those in time and keep a jam going; then no wait is asked, and what
-        comes back at once can still be answered in time.
+        A client that waits past its latency target returns with a try that is late whatever is
+        done. If clients do not mark their retries, such tries take slots from requests that are
+        in time and keep an overload going. The client is then not told to wait, and a retry
+        that comes at once can still be answered in time.
         """
-        s = self.settings
-        late = r.cls.spec.late_value <= 0 and s.max_retry_after > r.cls.latency_target
-        return 0 if late and not s.clients_mark_retries else s.max_retry_after
+        settings = self.settings
+        late = (
+            request.cls.spec.late_value <= 0
+            and settings.max_retry_after > request.cls.latency_target
+        )
+        return 0 if late and not settings.clients_mark_retries else settings.max_retry_after
 
-    def may_refuse(self, r: Request) -> bool:
-        if r.cls.effect == Effect.PURE:
+    def may_refuse(self, request: Request) -> bool:
+        """Whether the client may be told that its request can be repeated without harm."""
+        if request.cls.effect == Effect.PURE:
             return True
-        if r.attempts_in_flight:
+        if request.attempts_in_flight:
             return False
-        if r.first_maybe_run is None:
+        if request.first_maybe_run is None:
             return True
-        return r.cls.effect == Effect.TOKEN and r.cls.spec.scope == Scope.ALL
+        return request.cls.effect == Effect.TOKEN and request.cls.spec.scope == Scope.ALL
 
-    def may_retry(self, now: int, r: Request) -> bool:
-        """Whether another attempt is allowed; in_group says where for keyed ones."""
+    def may_retry(self, now: int, request: Request) -> bool:
+        """Whether another attempt is allowed; `pick_in_dedup_scope` says where for keyed ones."""
         if (
-            r.attempts_in_flight
-            or r.half_closed_at
-            or len(r.attempts) >= self.settings.max_attempts
+            request.attempts_in_flight
+            or request.half_closed_at
+            or len(request.attempts) >= self.settings.max_attempts
         ):
             return False
-        if r.first_maybe_run is None or r.cls.effect == Effect.PURE:
+        if request.first_maybe_run is None or request.cls.effect == Effect.PURE:
             return True
-        if r.cls.effect == Effect.SIDE_EFFECT:
+        if request.cls.effect == Effect.SIDE_EFFECT:
             return False
-        return now < r.first_maybe_run.sent_at + r.cls.spec.retry_window
+        return now < request.first_maybe_run.sent_at + request.cls.spec.retry_window
 
     def may_start_attempt(self, now: int, request: int, attempt: int) -> bool:
-        """Whether an attempt that has not left yet, its connection being made, may do so now."""
-        r = self.requests.get(request)
-        if r is None or r.ended or attempt >= len(r.attempts):
+        """Whether an attempt whose connection was not ready yet may still be sent now."""
+        pending = self.requests.get(request)
+        if pending is None or pending.ended or attempt >= len(pending.attempts):
             return False
-        if r.half_closed_at and now - r.half_closed_at > HALF_CLOSE_GRACE_NS:
+        if pending.half_closed_at and now - pending.half_closed_at > HALF_CLOSE_GRACE_NS:
             return False
-        if r.first_maybe_run is None or r.cls.effect != Effect.TOKEN:
+        if pending.first_maybe_run is None or pending.cls.effect != Effect.TOKEN:
             return True
-        return now < r.first_maybe_run.sent_at + r.cls.spec.retry_window
+        return now < pending.first_maybe_run.sent_at + pending.cls.spec.retry_window
 
     # ---- outcomes -----------------------------------------------------
 
@@ -1031,271 +1156,325 @@
         answered: bool,
         load: Sequence[float] = (),
     ) -> None:
+        """Take the one outcome of an attempt, `duration` nanoseconds after it was sent.
+
+        `answered` tells that the client has its answer already; `load` holds the columns of
+        the backend's load report. Outcomes of unknown and closed attempts are ignored.
+        """
         self.now = now
-        r = self.requests.get(request)
-        if r is None or attempt >= len(r.attempts) or not r.attempts[attempt].is_open:
+        pending = self.requests.get(request)
+        if (
+            pending is None
+            or attempt >= len(pending.attempts)
+            or not pending.attempts[attempt].is_open
+        ):
             return
-        a = r.attempts[attempt]
-        a.is_open = False
-        b = a.backend
-        c = r.cls
-        r.attempts_in_flight -= 1
-        if not a.response_started:
-            self.release_slot(c, b)
+        ended_attempt = pending.attempts[attempt]
+        ended_attempt.is_open = False
+        backend = ended_attempt.backend
+        class_state = pending.cls
+        pending.attempts_in_flight -= 1
+        if not ended_attempt.response_started:
+            self.release_slot(class_state, backend)
             if self.granted_slots is not None and outcome in OUTCOMES_MAY_STILL_RUN:
-                # Given up here it may go on there: its place is not another's to take yet.
-                until = a.sent_at + c.spec.deadline
-                b.abandoned_until = (*b.abandoned_until, until)
-                self.schedule_wakeup(until, b)
+                # The backend may go on with an attempt that this node has abandoned: its slot
+                # is not free for another one yet.
+                until = ended_attempt.sent_at + class_state.spec.deadline
+                backend.abandoned_until = (*backend.abandoned_until, until)
+                self.schedule_wakeup(until, backend)
         self.outcome_count += 1
         if outcome in (FULL, TIMEOUT):
             self.overloaded_until = now + OVERLOAD_HOLD_NS
             self.last_loss_at = now
-        if b.stalled and not b.in_flight:
-            # All it held has ended without an answer: nothing else would let it back in.
-            b.stalled = False
-            b.half_open = True
+        if backend.stalled and not backend.in_flight:
+            # All attempts at the stalled backend have ended without an answer, so no later
+            # event would let the backend in again.
+            backend.stalled = False
+            backend.half_open = True
         if outcome == OK:
-            if not a.response_started:
-                self.record_answer(now, c, b, duration, load)
-            if not r.ended:
-                c.response_time_sum += now - r.arrived_at
-                c.response_count += 1
+            if not ended_attempt.response_started:
+                self.record_answer(now, class_state, backend, duration, load)
+            if not pending.ended:
+                class_state.response_time_sum += now - pending.arrived_at
+                class_state.response_count += 1
         else:
-            self.record_failure(now, c, b, outcome, duration)
-        self.update_bucket(b)
-        self.forget_if_gone(b)
-        if outcome not in OUTCOMES_NEVER_RAN and r.first_maybe_run is None:
-            r.first_maybe_run = a
+            self.record_failure(now, class_state, backend, outcome, duration)
+        self.update_bucket(backend)
+        self.forget_if_gone(backend)
+        if outcome not in OUTCOMES_NEVER_RAN and pending.first_maybe_run is None:
+            pending.first_maybe_run = ended_attempt
         if answered or outcome == OK:
-            r.ended = True
-        if r.ended:
-            if not r.attempts_in_flight:
+            pending.ended = True
+        if pending.ended:
+            if not pending.attempts_in_flight:
                 self.requests.pop(request, None)
-        elif not r.attempts_in_flight:
+        elif not pending.attempts_in_flight:
             self.retry_or_answer(
-                now, r, min(duration / c.mean_latency, 1.0) if outcome == ERROR else 1.0
+                now,
+                pending,
+                min(duration / class_state.mean_latency, 1.0) if outcome == ERROR else 1.0,
             )
         self.dispatch(now)
 
-    def retry_or_answer(self, now: int, r: Request, price: float) -> None:
-        """Queue a further attempt ahead of the others, or answer for good.
+    def retry_or_answer(self, now: int, request: Request, price: float) -> None:
+        """Queue a further attempt ahead of other requests, or answer without service.
 
-        The budget bounds work done twice: an error that came at once cost none.
-        Charged in full, two failing backends of eleven used it up and a fifth of
-        the requests was refused with most of the fleet idle.
+        `price` is taken from the retry budget, which bounds the work that is done twice. An
+        error that came at once cost the backend nothing: when such errors were charged in
+        full, two failing backends of eleven used up the budget, and a fifth of the requests
+        was refused with most of the fleet idle.
         """
-        c = r.cls
-        r.wait_until = min(r.target_at, r.deadline_at) - int(c.mean_latency)
-        fits = now < r.wait_until and self.may_retry(now, r)
-        if fits and r.first_maybe_run is not None:
-            fits = self.retry_budget >= price
-            if fits:
+        class_state = request.cls
+        request.wait_until = min(request.target_at, request.deadline_at) - int(
+            class_state.mean_latency
+        )
+        allowed = now < request.wait_until and self.may_retry(now, request)
+        if allowed and request.first_maybe_run is not None:
+            allowed = self.retry_budget >= price
+            if allowed:
                 self.retry_budget -= price
-        if not fits:
-            self.refuse_or_fail(r)
+        if not allowed:
+            self.refuse_or_fail(request)
             return
-        self.enqueue(r, True)
-        self.schedule_wakeup(r.wait_until, r)
+        self.enqueue(request, True)
+        self.schedule_wakeup(request.wait_until, request)
 
     def record_answer(
-        self, now: int, c: ClassState, b: Backend, taken: int, load: Sequence[float]
+        self,
+        now: int,
+        class_state: ClassState,
+        backend: Backend,
+        duration: int,
+        load: Sequence[float],
     ) -> None:
-        ratio = self.record_latency(c, b, taken)
-        cost = 0.5 * b.latency_ratio + 0.5 * ratio
+        """Learn latency, cost and health of a backend from a good answer."""
+        ratio = self.record_latency(class_state, backend, duration)
+        cost = 0.5 * backend.latency_ratio + 0.5 * ratio
         if 0 <= self.queue_column < len(load):
-            cost = b.latency_ratio * (1.0 + max(load[self.queue_column], 0.0))
-        b.cost = cost
-        b.last_outcome_at = now
-        b.silent_since = now
-        b.stalled = False
-        b.consecutive_rejections = 0
-        b.consecutive_failures = 0
-        b.half_open = False
-        b.error_fraction -= ERROR_FRACTION_GAIN * b.error_fraction
+            cost = backend.latency_ratio * (1.0 + max(load[self.queue_column], 0.0))
+        backend.cost = cost
+        backend.last_outcome_at = now
+        backend.silent_since = now
+        backend.stalled = False
+        backend.consecutive_rejections = 0
+        backend.consecutive_failures = 0
+        backend.half_open = False
+        backend.error_fraction -= ERROR_FRACTION_GAIN * backend.error_fraction
         self.fleet_error_fraction -= FLEET_ERROR_FRACTION_GAIN * self.fleet_error_fraction
-        if b.error_fraction < UNRELIABLE_ERROR_FRACTION:
-            b.ejection_backoff = EJECTION_BACKOFF_NS
-
-    def record_latency(self, c: ClassState, b: Backend, taken: int) -> float:
-        """Learn from how long an attempt was out; returns it against the class's mean."""
-        # A hung backend's time-outs last many aims; taken whole, a handful would
-        # look like a jam of the fleet and cut every backend's slots.
-        taken = min(taken, int(MAX_TARGET_RATIO * c.latency_target))
-        gain = 0.05 if c.latency_count > 20 else 0.2
-        c.latency_count += 1
-        c.mean_latency += gain * (taken - c.mean_latency)
-        self.target_ratio_sums[c.number] += taken / c.latency_target
-        self.target_ratio_counts[c.number] += 1
-        ratio = min(taken / c.mean_latency, 10.0)
-        b.latency_ratio += 0.2 * (ratio - b.latency_ratio)
+        if backend.error_fraction < UNRELIABLE_ERROR_FRACTION:
+            backend.ejection_backoff = EJECTION_BACKOFF_NS
+
+    def record_latency(self, class_state: ClassState, backend: Backend, duration: int) -> float:
+        """Learn from the duration of an attempt; return it relative to the class's mean."""
+        # The time-outs of a hung backend last many latency targets. Counted in full, a handful
+        # of them would look like an overload of the fleet and cut every backend's slots.
+        duration = min(duration, int(MAX_TARGET_RATIO * class_state.latency_target))
+        gain = 0.05 if class_state.latency_count > 20 else 0.2
+        class_state.latency_count += 1
+        class_state.mean_latency += gain * (duration - class_state.mean_latency)
+        self.target_ratio_sums[class_state.number] += duration / class_state.latency_target
+        self.target_ratio_counts[class_state.number] += 1
+        ratio = min(duration / class_state.mean_latency, 10.0)
+        backend.latency_ratio += 0.2 * (ratio - backend.latency_ratio)
         return ratio
 
-    def record_failure(self, now: int, c: ClassState, b: Backend, outcome: int, taken: int) -> None:
+    def record_failure(
+        self, now: int, class_state: ClassState, backend: Backend, outcome: int, duration: int
+    ) -> None:
+        """Learn from an attempt that brought no good answer; pause or eject its backend."""
         if outcome == FULL:
             self.rejection_count += 1
-            b.cost = 4.0
-            b.last_outcome_at = now
-            b.silent_since = now
-            # A full backend answers at once and so would always hold fewest:
-            # without a rest it draws the whole stream.
-            b.consecutive_rejections += 1
-            rest = int(c.mean_latency * (0.5 + self.random.random())) << min(
-                b.consecutive_rejections - 1, 6
+            backend.cost = 4.0
+            backend.last_outcome_at = now
+            backend.silent_since = now
+            # A full backend answers at once and so would always have the fewest requests in
+            # flight: without a pause it attracts all of the traffic.
+            backend.consecutive_rejections += 1
+            pause = int(class_state.mean_latency * (0.5 + self.random.random())) << min(
+                backend.consecutive_rejections - 1, 6
+            )
+            backend.paused_until = max(
+                backend.paused_until, now + min(pause, MAX_REJECTION_PAUSE_NS)
             )
-            b.paused_until = max(b.paused_until, now + min(rest, MAX_REJECTION_PAUSE_NS))
-            self.schedule_wakeup(b.paused_until, b)
+            self.schedule_wakeup(backend.paused_until, backend)
         elif outcome in (ERROR, RESET):
-            # A break is the network's or the connection's as often as the backend's: a
-            # process that ended refuses the next dial, and one that vanished is silent.
-            # Taken for a restart, two in a row left half of a sound fleet out, then cold.
-            b.cost = 6.0
-            b.last_outcome_at = b.silent_since = now  # it is there
-            b.stalled = False
-            b.consecutive_failures = 0
-            b.error_fraction += ERROR_FRACTION_GAIN * (1.0 - b.error_fraction)
+            # A broken connection is the network's fault as often as the backend's: a process
+            # that has ended refuses the next connection, and one that has vanished is silent.
+            # When each break counted as a restart, two in a row left half of a healthy fleet
+            # ejected, and then in slow start.
+            backend.cost = 6.0
+            backend.last_outcome_at = backend.silent_since = now  # the backend is reachable
+            backend.stalled = False
+            backend.consecutive_failures = 0
+            backend.error_fraction += ERROR_FRACTION_GAIN * (1.0 - backend.error_fraction)
             self.fleet_error_fraction += FLEET_ERROR_FRACTION_GAIN * (
                 1.0 - self.fleet_error_fraction
             )
-            if b.error_fraction > (
+            if backend.error_fraction > (
                 EJECTION_ERROR_FRACTION
                 if self.fleet_error_fraction < HIGH_FLEET_ERROR_FRACTION
                 else EJECTION_ERROR_FRACTION_IN_FAILING_FLEET
             ):
-                self.eject(now, b, "errors or breaks in a row")
+                self.eject(now, backend, "errors or broken connections in a row")
         elif outcome in (TIMEOUT, CONNECT_FAILED):
-            b.cost = 6.0
-            b.last_outcome_at = now
+            backend.cost = 6.0
+            backend.last_outcome_at = now
             if outcome == TIMEOUT:
-                # Answers alone would make a jam look like light load: the limit
-                # would stay up while most work is given up on.
-                self.record_latency(c, b, max(taken, c.latency_target))
-                # Learnt in a jam, the uncrowded latency is the jam's own, and only
-                # time-outs tell. A hung backend answers nothing and counts once.
-                self.timeout_count += not b.consecutive_failures
-            b.consecutive_failures += 1
-            lost = outcome == CONNECT_FAILED
-            # One time-out may be load: with one slot it always looks like silence.
-            if lost and b.consecutive_failures == 1:
-                # The network breaks single dials, on some days one in twenty, and none of
-                # them ran: left out for a second each, up to four of ten were out at once.
-                b.paused_until = max(b.paused_until, now + DIAL_FAILURE_PAUSE_NS)
-                self.schedule_wakeup(b.paused_until, b)
-            elif lost:
-                # One that has ended refuses the next too. Its own start, however short,
-                # comes with the list.
-                self.eject(now, b, "connections failed", restarted=True)
-            elif b.consecutive_failures >= EJECTION_TIMEOUT_COUNT and now - b.silent_since >= taken:
-                self.eject(now, b, "no answer since the send")
-
-    def eject(self, now: int, b: Backend, why: str, restarted: bool = False) -> None:
-        """Leave a silent, failing or unreachable backend alone; never more than half of all."""
+                # If only answers counted, an overload would look like light load, and the limit
+                # would stay high while most of the work is abandoned.
+                self.record_latency(class_state, backend, max(duration, class_state.latency_target))
+                # A baseline latency that was learnt in an overload is the overload's own, and
+                # then only time-outs reveal it. A hung backend answers nothing and counts once.
+                self.timeout_count += not backend.consecutive_failures
+            backend.consecutive_failures += 1
+            connect_failed = outcome == CONNECT_FAILED
+            # A single time-out may come from load: with one slot, load always looks like
+            # silence.
+            if connect_failed and backend.consecutive_failures == 1:
+                # The network breaks single connection attempts, on some days one in twenty, and
+                # none of their requests ran. With an ejection of one second for each, up to
+                # four of ten backends were out at once.
+                backend.paused_until = max(backend.paused_until, now + DIAL_FAILURE_PAUSE_NS)
+                self.schedule_wakeup(backend.paused_until, backend)
+            elif connect_failed:
+                # A process that has ended refuses the next connection too. The list tells of
+                # the start of its successor, however short the gap was.
+                self.eject(now, backend, "connections failed", restarted=True)
+            elif (
+                backend.consecutive_failures >= EJECTION_TIMEOUT_COUNT
+                and now - backend.silent_since >= duration
+            ):
+                self.eject(now, backend, "no answer since the attempt was sent")
+
+    def eject(self, now: int, backend: Backend, reason: str, restarted: bool = False) -> None:
+        """Send a silent, failing or unreachable backend nothing until its backoff is over.
+
+        At most half of the ready backends are ejected at any time.
+        """
         if (
-            b.state != State.READY
-            or b.ejected_until
+            backend.state != State.READY
+            or backend.ejected_until
             or (self.ejected_count + 1) * 2 > self.ready_count
         ):
             return
-        b.ejected_until = now + b.ejection_backoff
-        b.ejection_backoff = min(b.ejection_backoff * 2, MAX_EJECTION_BACKOFF_NS)
+        backend.ejected_until = now + backend.ejection_backoff
+        backend.ejection_backoff = min(backend.ejection_backoff * 2, MAX_EJECTION_BACKOFF_NS)
         if restarted:
-            # Its process may be replaced before the list says so.
-            b.slow_start_until = b.ejected_until + self.settings.slow_start
-        self.log_limited(now, f"backend {b.id} out: {why}")
+            # The backend's process may be replaced before the list says so.
+            backend.slow_start_until = backend.ejected_until + self.settings.slow_start
+        self.log_limited(now, f"backend {backend.id} out: {reason}")
         self.ejected_count += 1
-        self.schedule_wakeup(b.ejected_until, b)
-        self.update_bucket(b)
+        self.schedule_wakeup(backend.ejected_until, backend)
+        self.update_bucket(backend)
 
     def log_limited(self, now: int, text: str) -> None:
-        """Log a rare change of state, one line a second at most."""
+        """Log a change of state, at most one line per second."""
         if now >= self.log_silent_until:
             self.log_silent_until = now + SECOND
             self.actions.log(text)
 
-    def end_ejection(self, b: Backend) -> None:
-        b.ejected_until = 0
-        b.stalled = False
-        b.half_open = True
+    def end_ejection(self, backend: Backend) -> None:
+        """Let an ejected backend in again, half-open: with one request at a time."""
+        backend.ejected_until = 0
+        backend.stalled = False
+        backend.half_open = True
         self.ejected_count -= 1
-        self.update_bucket(b)
+        self.update_bucket(backend)
 
     def on_response_started(self, now: int, request: int, attempt: int, duration: int) -> None:
-        """Its answer has begun: the work is done, and how fast it is read is the client's."""
+        """Free an attempt's slot once its response starts, `duration` after it was sent.
+
+        The backend has done its work then; how fast the response is read depends on the client.
+        """
         self.now = now
-        r = self.requests.get(request)
-        a = r.attempts[attempt] if r is not None and attempt < len(r.attempts) else None
-        if r is not None and a is not None and a.is_open and not a.response_started:
-            a.response_started = True
-            self.release_slot(r.cls, a.backend)
-            self.record_answer(now, r.cls, a.backend, duration, ())
-            self.update_bucket(a.backend)
+        pending = self.requests.get(request)
+        started = (
+            pending.attempts[attempt]
+            if pending is not None and attempt < len(pending.attempts)
+            else None
+        )
+        if (
+            pending is not None
+            and started is not None
+            and started.is_open
+            and not started.response_started
+        ):
+            started.response_started = True
+            self.release_slot(pending.cls, started.backend)
+            self.record_answer(now, pending.cls, started.backend, duration, ())
+            self.update_bucket(started.backend)
             self.dispatch(now)
 
-    def release_slot(self, c: ClassState, b: Backend) -> None:
-        c.in_flight -= 1
+    def release_slot(self, class_state: ClassState, backend: Backend) -> None:
+        class_state.in_flight -= 1
         self.in_flight -= 1
-        b.in_flight -= 1
+        backend.in_flight -= 1
 
     def on_client_gone(self, now: int, request: int) -> None:
+        """Drop a request whose client has gone; its attempts go on to their outcomes."""
         self.now = now
-        r = self.requests.get(request)
-        if r is None or r.ended:
+        pending = self.requests.get(request)
+        if pending is None or pending.ended:
             return
-        r.ended = True
-        if r.queued:
-            self.dequeue(r)
-        if not r.attempts_in_flight:
+        pending.ended = True
+        if pending.queued:
+            self.dequeue(pending)
+        if not pending.attempts_in_flight:
             self.requests.pop(request, None)
 
     def on_client_half_closed(self, now: int, request: int) -> None:
-        """Its client has ended its sending: mostly it has gone, and it may still read.
+        """Start no more attempts for a client that has ended its sending.
 
-        No attempt begins any more. What waits gets its one answer now, and what is out
-        goes on to its outcome, which is the answer then.
+        Such a client has gone in most cases, but it may still read. A queued request gets its
+        one answer now; an attempt in flight goes on to its outcome, which is the answer then.
         """
         self.now = now
-        r = self.requests.get(request)
-        if r is None or r.ended or r.half_closed_at:
+        pending = self.requests.get(request)
+        if pending is None or pending.ended or pending.half_closed_at:
             return
-        r.half_closed_at = now
-        if r.queued:
-            self.dequeue(r)
-            self.refuse_or_fail(r)
+        pending.half_closed_at = now
+        if pending.queued:
+            self.dequeue(pending)
+            self.refuse_or_fail(pending)
 
     def on_probe(
         self, now: int, backend: int, outcome: int, duration: int, load: Sequence[float] = ()
     ) -> None:
+        """Take the outcome of a probe, from which nothing is learnt."""
         self.now = now
 
     # ---- time ---------------------------------------------------------
 
     def on_timer(self, now: int, token: int) -> None:
+        """Handle a timer that was set with this token; other tokens are ignored."""
         self.now = now
         if token == TIMER_WAKE:
-            # An earlier reminder sets a timer of its own, so some come when nothing is due.
-            # Each would set the next again, and never die out: the one due is under way.
-            # Hosts may round a time down, and then this was that one.
+            # An earlier wake-up sets a timer of its own, so some timers fire when nothing is
+            # due. If each of them set the next one again, their number would never fall; the
+            # timer for the wake-up that is due next is set already. Hosts may round a time
+            # down, and then this timer was that one.
             if now + MS >= self.next_wakeup_at:
                 self.run_wakeups(now)
         elif token == TIMER_CYCLE:
             self.run_cycle(now)
             if self.wakeups and self.wakeups[0][0] <= now:
-                self.run_wakeups(now)  # should its own timer be lost, nobody waits for good
+                self.run_wakeups(now)  # a lost wake-up timer must not leave requests waiting
             self.actions.set_timer(TIMER_CYCLE, now + CYCLE_NS)
         elif token == TIMER_LIST and not self.list_call_pending:
             self.list_call_pending = True
             self.actions.watch()
 
     def run_wakeups(self, now: int) -> None:
-        """Refuse what has waited out its time; let rested backends back in.
+        """Refuse requests that have waited out their time; let paused backends in again.
 
-        A heap and not the lines' heads: tries of one class come with different
-        times left, and a further attempt waits ahead of older ones, so a head
-        that may wait longer would let those behind it run out unanswered.
+        Wake-ups are kept in a heap because the front of a queue does not tell who is due next:
+        requests of one class come with different times left, and a retry waits ahead of older
+        requests. A request at the front that may wait longer would let those behind it run out
+        of time unanswered.
         """
-        heap = self.wakeups
-        while heap and heap[0][0] <= now:
-            item = heappop(heap)[2]
+        wakeups = self.wakeups
+        while wakeups and wakeups[0][0] <= now:
+            item = heappop(wakeups)[2]
             if isinstance(item, Backend):
                 if item.ejected_until and item.ejected_until <= now:
                     self.end_ejection(item)
@@ -1305,116 +1484,148 @@
                 self.dequeue(item)
                 self.refuse_or_fail(item)
         self.next_wakeup_at = 0
-        if heap:
-            self.next_wakeup_at = heap[0][0]
+        if wakeups:
+            self.next_wakeup_at = wakeups[0][0]
             self.actions.set_timer(TIMER_WAKE, self.next_wakeup_at)
         self.dispatch(now)
 
     def run_cycle(self, now: int) -> None:
-        """Twice a second: caps from what was seen, then shares from the model."""
+        """Adapt the concurrency limit to the outcomes of the last cycle, then the class shares.
+
+        Runs twice a second.
+        """
         self.send_rate += 0.3 * (self.send_count * SECOND / CYCLE_NS - self.send_rate)
         self.send_count = 0
         self.calm_count, self.calm_late_count = (
             self.calm_count * CALM_COUNT_DECAY_RATIO,
             self.calm_late_count * CALM_COUNT_DECAY_RATIO,
         )
-        worst = slowest = 0.0
-        judged = False
+        congestion = slowest = 0.0
+        has_samples = False
         cut = False
-        for i, n in enumerate(self.target_ratio_counts):
-            judged = judged or n >= 3
-            c = self.classes[i]
-            if c.latency_count > 20:
-                c.baseline_latency = (
-                    min(c.baseline_latency * BASELINE_GROWTH_RATIO, c.mean_latency)
-                    if c.baseline_latency
-                    else c.mean_latency
+        for i, count in enumerate(self.target_ratio_counts):
+            has_samples = has_samples or count >= 3
+            class_state = self.classes[i]
+            if class_state.latency_count > 20:
+                class_state.baseline_latency = (
+                    min(
+                        class_state.baseline_latency * BASELINE_GROWTH_RATIO,
+                        class_state.mean_latency,
+                    )
+                    if class_state.baseline_latency
+                    else class_state.mean_latency
+                )
+            if count >= 3:
+                slowest = max(slowest, self.target_ratio_sums[i] / count)
+            # Without a baseline, half of a latency target on idle backends would pass for an
+            # overload; with many nodes, a class with little traffic has no baseline for most
+            # of a minute.
+            if count >= 3 and class_state.baseline_latency:
+                # Measured against the latency target alone, a class that takes half of its
+                # target on an idle backend would keep every limit at its minimum.
+                baseline = min(class_state.baseline_latency / class_state.latency_target, 0.9)
+                congestion = max(
+                    congestion,
+                    (self.target_ratio_sums[i] / count - baseline) / (1.0 - baseline),
                 )
-            if n >= 3:
-                slowest = max(slowest, self.target_ratio_sums[i] / n)
-            # Without a base yet, half an aim on idle backends would pass for a jam;
-            # with many nodes a thin class stays so for most of a minute.
-            if n >= 3 and c.baseline_latency:
-                # Against the aim alone, a class that takes half its aim on an
-                # idle backend would keep every cap at its least.
-                base = min(c.baseline_latency / c.latency_target, 0.9)
-                worst = max(worst, (self.target_ratio_sums[i] / n - base) / (1.0 - base))
         if self.outcome_count:
-            n = self.outcome_count
-            # Turned away though what is served is quick, attempts meet a limit on rates
-            # or connections: fewer slots would not ease it. Cut for it all the same, the
-            # limit fell to 2 and a fifth was refused with every backend idle.
-            full = self.rejection_count > MAX_REJECTED_FRACTION * n
-            # A jam that ends in time-outs is slow for all. Where the rest is quick they
-            # are requests or answers that went astray: cut for one in twenty of these,
-            # the limit fell from 4 to 1 and a third was refused beside idle servers.
-            lost = (
-                self.timeout_count > max(MAX_TIMED_OUT_FRACTION * n, 1)
+            count = self.outcome_count
+            # Attempts that are rejected while served ones are quick meet a limit on rates or
+            # connections, which fewer slots would not ease. When the limit was cut for it all
+            # the same, it fell to 2, and a fifth was refused with every backend idle.
+            rejected = self.rejection_count > MAX_REJECTED_FRACTION * count
+            # An overload that ends in time-outs slows down every request. Where the others are
+            # quick, the timed-out ones are requests or answers that were lost on the way: when
+            # the limit was cut for one in twenty of these, it fell from 4 to 1, and a third was
+            # refused beside idle backends.
+            timed_out = (
+                self.timeout_count > max(MAX_TIMED_OUT_FRACTION * count, 1)
                 and slowest > TIMEOUT_CUT_MIN_TARGET_RATIO
             )
             if (
-                worst > HIGH_CONGESTION_FRACTION
+                congestion > HIGH_CONGESTION_FRACTION
                 or (
-                    full
+                    rejected
                     and (
-                        worst > LOW_CONGESTION_FRACTION
+                        congestion > LOW_CONGESTION_FRACTION
                         or self.concurrency_limit > REJECTION_CUT_MIN_LIMIT
                     )
                 )
-                or lost
+                or timed_out
             ):
                 cut = True
-                deep = worst > 2.0 * HIGH_CONGESTION_FRACTION
+                severe = congestion > 2.0 * HIGH_CONGESTION_FRACTION
                 self.concurrency_limit = max(
                     MIN_CONCURRENCY_LIMIT,
                     self.concurrency_limit
                     * (
                         LIMIT_CUT_RATIO * LIMIT_CUT_RATIO * LIMIT_CUT_RATIO
-                        if deep
+                        if severe
                         else LIMIT_CUT_RATIO
                     ),
                 )
-                if deep:
+                if severe:
                     self.log_limited(now, f"concurrency limit down to {self.concurrency_limit:.1f}")
-            elif self.queued_in_cycle and judged and worst < LOW_CONGESTION_FRACTION and not full:
+            elif (
+                self.queued_in_cycle
+                and has_samples
+                and congestion < LOW_CONGESTION_FRACTION
+                and not rejected
+            ):
                 self.concurrency_limit = min(
                     MAX_CONCURRENCY_LIMIT, self.concurrency_limit * LIMIT_GROWTH_RATIO
                 )
         self.outcome_count = self.rejection_count = self.timeout_count = 0
         self.queued_in_cycle = False
-        for i, seen in enumerate(self.target_ratio_counts):
-            # Of many nodes each sees an answer or two a cycle: the worst class's
-            # mean over so few is mostly chance, and the limit would sink on it.
-            # Never past a cut: the same few answers of one jam, judged cycle after
-            # cycle, took the limit from 9 to 1 at nodes of three slots.
-            carry = CYCLE_DECAY_RATIO if seen < CONGESTION_SAMPLE_COUNT and not cut else 0.0
-            self.target_ratio_sums[i] *= carry
-            self.target_ratio_counts[i] *= carry
+        for i, sample_count in enumerate(self.target_ratio_counts):
+            # Each of many nodes sees one or two answers per cycle. The most congested class's
+            # mean over so few answers is mostly chance, and the limit would sink because of
+            # it, so the answers are carried over. They are not carried past a cut: the same
+            # few answers of one overload, judged cycle after cycle, took the limit from 9 to 1
+            # at nodes with three slots.
+            kept_part = (
+                CYCLE_DECAY_RATIO if sample_count < CONGESTION_SAMPLE_COUNT and not cut else 0.0
+            )
+            self.target_ratio_sums[i] *= kept_part
+            self.target_ratio_counts[i] *= kept_part
         self.update_slot_limits()
         self.update_shares()
         self.dispatch(now)
 
     def update_shares(self) -> None:
+        """Compute the class shares from the traffic and response times of the past cycles."""
         flows = []
-        for c in self.classes:
-            c.cycle_count = c.cycle_count * CYCLE_DECAY_RATIO + 1
-            c.share_sum = c.share_sum * CYCLE_DECAY_RATIO + c.share
-            seen = c.response_count + c.refused_count
-            lost = c.refused_count * REFUSED_TARGET_RATIO * c.latency_target
-            mean = (c.response_time_sum + lost) / seen if seen else 0.0
-            # Eq. 8 takes all arrivals as served at the share seen. A class that
-            # turned most away would look as if one slot more cured it: its share
-            # is read as serving its served part only.
-            old = c.share_sum / c.cycle_count
-            if seen:
-                old /= max(c.response_count / seen, MIN_SERVED_FRACTION)
-            rate = c.arrival_count / (c.cycle_count * CYCLE_NS / SECOND)
-            flows.append((rate, mean / SECOND, old, c.latency_target / SECOND, c.spec.value))
-            c.arrival_count *= CYCLE_DECAY_RATIO
-            c.refused_count *= CYCLE_DECAY_RATIO
-            c.response_time_sum *= CYCLE_DECAY_RATIO
-            c.response_count *= CYCLE_DECAY_RATIO
-        for c, share in zip(
+        for class_state in self.classes:
+            class_state.cycle_count = class_state.cycle_count * CYCLE_DECAY_RATIO + 1
+            class_state.share_sum = class_state.share_sum * CYCLE_DECAY_RATIO + class_state.share
+            finished = class_state.response_count + class_state.refused_count
+            refused_time = (
+                class_state.refused_count * REFUSED_TARGET_RATIO * class_state.latency_target
+            )
+            mean_time = (
+                (class_state.response_time_sum + refused_time) / finished if finished else 0.0
+            )
+            # Equation 8 takes all arrivals as served at the observed share. A class that had
+            # most of its requests refused would look as if one more slot cured it, so its
+            # share is taken as serving only the part that was served.
+            share = class_state.share_sum / class_state.cycle_count
+            if finished:
+                share /= max(class_state.response_count / finished, MIN_SERVED_FRACTION)
+            rate = class_state.arrival_count / (class_state.cycle_count * CYCLE_NS / SECOND)
+            flows.append(
+                (
+                    rate,
+                    mean_time / SECOND,
+                    share,
+                    class_state.latency_target / SECOND,
+                    class_state.spec.value,
+                )
+            )
+            class_state.arrival_count *= CYCLE_DECAY_RATIO
+            class_state.refused_count *= CYCLE_DECAY_RATIO
+            class_state.response_time_sum *= CYCLE_DECAY_RATIO
+            class_state.response_count *= CYCLE_DECAY_RATIO
+        for class_state, new_share in zip(
             self.classes, solve_max_min_shares(self.total_slots, flows), strict=True
         ):
-            c.share = share
+            class_state.share = new_share
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A host for a Balancer that records what it was asked to do."""
+"""A host for a Balancer that records the actions which the Balancer calls, and test settings."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class RecordingHost:
-    """Records actions in order; `calls` holds tuples with the action's name first."""
+    """Records actions in order; an entry of `calls` holds an action's name, then its values."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[object, ...]] = []
-        self.retry_afters: list[int] = []  # what refused clients were told
+        self.retry_afters: list[int] = []  # waits that refused clients were told
 
     def send(self, request: int, backend: int, timeout: int) -> None:
         self.calls.append(("send", request, backend, timeout))
@@ -44,7 +44,8 @@
         self.calls.append(("log", text))
 
     def calls_named(self, name: str) -> list[tuple[object, ...]]:
-        return [c for c in self.calls if c[0] == name]
+        """The recorded calls of one action, in order."""
+        return [call for call in self.calls if call[0] == name]
 
 
 PURE = RequestClass("pure", 200 * MS, 1000 * MS, Effect.PURE)
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -1,4 +1,4 @@
-"""What must not grow over a long day, and what must find its way back in."""
+"""Long runs: state that must not grow without bound, and backends that must return to use."""
 
 from __future__ import annotations
 
@@ -10,8 +10,9 @@
 from .fakes import MS, PURE, SECOND, UNSAFE, RecordingHost, build_balancer, ready_listings
 
 
-def test_backends_that_have_gone_are_forgotten() -> None:
-    """Each day brings thousands of new ids; one with work out stays until that ends."""
+def test_state_of_gone_backends_does_not_pile_up() -> None:
+    """Thousands of new backend ids come each day. A gone backend with an attempt in flight is
+    kept until that attempt ends."""
     balancer, host = build_balancer(count=4)
     balancer.on_request(MS, 1, 0, SECOND)
     busy = int(str(host.calls_named("send")[0][2]))
@@ -27,15 +28,14 @@
     assert sum(len(bucket) for bucket in balancer.local_buckets) == 3
 
 
-def test_one_that_left_while_it_was_out_counts_no_more() -> None:
-    """Half of the fleet may be ejected: those that have gone must not use that up."""
+def test_gone_backends_do_not_count_as_ejected() -> None:
+    """At most half of the ready backends are ejected: gone ones must not use up that half."""
     balancer, host = build_balancer(count=6)
     for i in range(3):
         balancer.on_request(MS, i, 1, SECOND)
     for i in range(3):
-        balancer.backends[
-            int(str(host.calls_named("send")[i][2]))
-        ].consecutive_failures = 1  # not the first
+        # A first failed connection would only pause the backend.
+        balancer.backends[int(str(host.calls_named("send")[i][2]))].consecutive_failures = 1
         balancer.on_outcome(2 * MS, i, 0, 5, MS, True)
     out = [b.id for b in balancer.backends.values() if b.ejected_until]
     assert len(out) == balancer.ejected_count == 3
@@ -45,7 +45,7 @@
     assert balancer.ejected_count == 0 and len(balancer.backends) == 3
 
 
-def test_lines_drop_those_that_gave_up() -> None:
+def test_queues_do_not_keep_requests_whose_clients_left() -> None:
     balancer, _ = build_balancer(count=1)
     for i in range(balancer.total_slots):
         balancer.on_request(MS, i, 0, SECOND)
@@ -54,16 +54,16 @@
         balancer.on_client_gone(MS, i)
     assert (
         sum(
-            len(line)
+            len(queue)
             for c in balancer.classes
-            for line in (*c.queues_by_tenant, c.low_priority_queue)
+            for queue in (*c.queues_by_tenant, c.low_priority_queue)
         )
         == 0
     )
 
 
-class Clock(RecordingHost):
-    """Fires timers as a node does: each that was set, when it is due."""
+class TimerHost(RecordingHost):
+    """Keeps the timers that were set, for a test to fire each of them when it is due."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -73,9 +73,10 @@
         heappush(self.timers, (due, token))
 
 
-def test_wake_timers_die_out() -> None:
-    """Each earlier reminder sets one more timer; none of them may set the next for ever."""
-    host = Clock()
+def test_wakeup_timers_do_not_multiply() -> None:
+    """Each earlier wake-up sets one more timer; if each timer set the next one, their number
+    would grow for ever."""
+    host = TimerHost()
     balancer = Balancer(Settings(classes=(PURE,)), 1, host)
     balancer.start(0)
     balancer.on_backend_list(0, Update.CACHED, ready_listings(1))
@@ -87,7 +88,7 @@
     assert len(host.timers) < 20
 
 
-def test_what_clients_usually_leave_is_learnt_anew() -> None:
+def test_a_new_usual_time_left_replaces_the_old_one() -> None:
     balancer, _ = build_balancer(Settings(classes=(PURE,)), count=1)
     c = balancer.classes[0]
     for _ in range(10 * MAX_TIME_LEFT_SAMPLE_COUNT):
@@ -95,20 +96,22 @@
     assert c.time_left_count <= MAX_TIME_LEFT_SAMPLE_COUNT
     for _ in range(2 * MAX_TIME_LEFT_SAMPLE_COUNT):
         c.estimate_elapsed(500 * MS)
-    assert c.estimate_elapsed(500 * MS) == 0  # the new usual, no late try
+    assert c.estimate_elapsed(500 * MS) == 0  # the new usual time left is not taken for a late try
 
 
-def test_a_backend_that_fails_at_once_is_left_out() -> None:
-    """It holds fewest, for it answers at once: it would draw all, and lose what is unsafe."""
+def test_a_backend_that_fails_at_once_does_not_attract_all_requests() -> None:
+    """A backend that answers every request with an error at once has the fewest in flight: it
+    would get all requests, and lose those that must not be repeated."""
     balancer, _ = build_balancer(Settings(classes=(PURE, UNSAFE), max_attempts=4), count=10)
-    out: list[tuple[int, int]] = []  # of the others, which are busy: when each answers
-    met = lost = 0
+    # (time, request) of each answer that the other backends still owe.
+    out: list[tuple[int, int]] = []
+    reached = lost = 0
     for i in range(2000):
         now = i * 5 * MS
         while out and out[0][0] <= now:
-            at, rid = heappop(out)
-            n = len(balancer.requests[rid].attempts) - 1
-            balancer.on_outcome(at, rid, n, 1, 50 * MS, True)
+            at, request_id = heappop(out)
+            n = len(balancer.requests[request_id].attempts) - 1
+            balancer.on_outcome(at, request_id, n, 1, 50 * MS, True)
         balancer.on_timer(now, TIMER_WAKE)
         balancer.on_request(now, i, i % 3 == 0, SECOND)
         while i in balancer.requests:
@@ -116,15 +119,15 @@
             if attempt.backend.id != 100:
                 heappush(out, (now + 50 * MS, i))
                 break
-            met += 1
+            reached += 1
             lost += i % 3 == 0
             balancer.on_outcome(now, i, len(balancer.requests[i].attempts) - 1, 2, 0, False)
-    assert met < 40
+    assert reached < 40
     assert lost <= 3
 
 
-def test_spoilt_answers_now_and_then_leave_all_in() -> None:
-    """Any backend sends one in fifty: none is left out, and none marked cold."""
+def test_rare_errors_eject_no_backend() -> None:
+    """Any backend answers one in fifty with an error: none is ejected or put in slow start."""
     balancer, host = build_balancer(Settings(classes=(PURE, UNSAFE), max_attempts=4), count=10)
     for i in range(3000):
         now = i * 5 * MS
@@ -137,7 +140,7 @@
     assert not any(b.slow_start_until or b.ejected_until for b in balancer.backends.values())
 
 
-def test_errors_of_the_whole_fleet_leave_nobody_out() -> None:
+def test_errors_of_the_whole_fleet_do_not_eject_its_backends() -> None:
     balancer, _ = build_balancer(Settings(classes=(UNSAFE,)), count=10)
     for i in range(600):
         now = i * 5 * MS
@@ -147,8 +150,9 @@
     assert balancer.ejected_count <= 2
 
 
-def test_a_stalled_backend_whose_work_has_ended_is_tried_again() -> None:
-    """One time-out is no silence: passed over for good it would be lost to the fleet."""
+def test_a_stalled_backend_is_tried_again_after_its_work_ended() -> None:
+    """A single time-out is not silence: if the backend stayed stalled, it would never be used
+    again."""
     balancer, host = build_balancer(Settings(classes=(UNSAFE,)), count=2)
     balancer.on_request(0, 0, 0, SECOND)
     hung = balancer.backends[int(str(host.calls_named("send")[0][2]))]
@@ -166,28 +170,31 @@
     assert hung.bucket is not None or hung.ejected_until
 
 
-def test_backends_that_limit_rates_do_not_sink_the_level() -> None:
-    """They turn away while what they serve is quick: slots are not what is short."""
+def test_rate_limiting_backends_do_not_cut_the_concurrency_limit() -> None:
+    """Such backends reject requests while they serve others quickly: fewer slots do not help."""
     balancer, host = build_balancer(Settings(classes=(PURE,), max_attempts=4), count=10)
     for k in range(40):
         now = k * SECOND // 2
         for i in range(30):
-            rid = 100 * k + i
-            balancer.on_request(now, rid, 0, SECOND)
-        for rid in list(balancer.requests):
-            r = balancer.requests[rid]
-            if r.attempts_in_flight and rid % 5 == 0:
-                balancer.on_outcome(now, rid, len(r.attempts) - 1, 3, 0, False)
-        for rid in list(balancer.requests):
-            r = balancer.requests[rid]
+            request_id = 100 * k + i
+            balancer.on_request(now, request_id, 0, SECOND)
+        for request_id in list(balancer.requests):
+            r = balancer.requests[request_id]
+            if r.attempts_in_flight and request_id % 5 == 0:
+                balancer.on_outcome(now, request_id, len(r.attempts) - 1, 3, 0, False)
+        for request_id in list(balancer.requests):
+            r = balancer.requests[request_id]
             if r.attempts_in_flight:
-                balancer.on_outcome(now + 20 * MS, rid, len(r.attempts) - 1, 1, 20 * MS, True)
+                balancer.on_outcome(
+                    now + 20 * MS, request_id, len(r.attempts) - 1, 1, 20 * MS, True
+                )
         balancer.on_timer(now + 400 * MS, 2)
     assert balancer.concurrency_limit > 2.5
 
 
-def test_a_wake_timer_that_comes_a_little_early_is_set_again() -> None:
-    """The simulator rounds times down to microseconds: a request was never woken, and lost."""
+def test_a_wakeup_timer_that_fires_slightly_early_is_not_lost() -> None:
+    """The simulator rounds times down to microseconds. A wake-up that came early for that reason
+    was dropped, and its request never got an answer."""
     balancer, host = build_balancer(Settings(classes=(PURE,)), count=1)
     for i in range(20):
         balancer.on_request(321, i, 0, SECOND)
@@ -198,27 +205,30 @@
     assert host.calls_named("refuse") or host.calls_named("timer")
 
 
-def test_a_lone_failed_dial_rests_its_server_and_a_second_one_leaves_it_out() -> None:
-    """The network breaks some dials; a process that is being replaced refuses the next too."""
+def test_one_failed_connection_pauses_a_backend_and_a_second_one_ejects_it() -> None:
+    """The network breaks single connection attempts; a process that is being replaced refuses
+    the next one too."""
     balancer, host = build_balancer(Settings(classes=(UNSAFE,), slow_start=8 * SECOND), count=4)
     balancer.on_request(MS, 1, 0, SECOND)
     bad = balancer.backends[int(str(host.calls_named("send")[0][2]))]
     balancer.on_outcome(2 * MS, 1, 0, 5, MS, True)
     assert bad.bucket is None and not bad.ejected_until and not bad.slow_start_until
-    back = bad.paused_until
-    assert back == 2 * MS + DIAL_FAILURE_PAUSE_NS
-    balancer.on_timer(back, TIMER_WAKE)
+    pause_end = bad.paused_until
+    assert pause_end == 2 * MS + DIAL_FAILURE_PAUSE_NS
+    balancer.on_timer(pause_end, TIMER_WAKE)
     assert bad.bucket is not None and not balancer.ejected_count
-    balancer.on_backend_list(back, Update.FULL, [Listing(bad.id, State.READY)])
-    balancer.on_request(back, 2, 0, SECOND)
+    balancer.on_backend_list(pause_end, Update.FULL, [Listing(bad.id, State.READY)])
+    balancer.on_request(pause_end, 2, 0, SECOND)
     assert host.calls_named("send")[-1][2] == bad.id
-    balancer.ready_count = 4  # the others are only out of this test's way
-    balancer.on_outcome(back + MS, 2, 0, 5, MS, True)
+    # The other backends have left the list; they still count for the half that may be ejected.
+    balancer.ready_count = 4
+    balancer.on_outcome(pause_end + MS, 2, 0, 5, MS, True)
     assert bad.ejected_until and bad.slow_start_until
 
 
-def test_an_answer_between_two_failed_dials_makes_each_a_lone_one() -> None:
-    """Where one dial in twenty breaks each server has its second one sooner or later."""
+def test_failed_connections_with_an_answer_between_do_not_eject() -> None:
+    """Where one connection attempt in twenty breaks, each backend has a second one sooner or
+    later."""
     balancer, host = build_balancer(Settings(classes=(UNSAFE,)), count=4)
     failed: set[object] = set()
     for i in range(40):
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The ordinary path: hold, release in turn, fewest in flight."""
+"""The ordinary request path: queue, dispatch in turn, backend with the fewest in flight."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from .fakes import MS, PURE, SECOND, UNSAFE, RecordingHost, build_balancer
 
 
-def test_sends_to_the_backend_holding_fewest() -> None:
+def test_requests_go_to_the_backend_with_the_fewest_in_flight() -> None:
     balancer, host = build_balancer(count=4)
     for i in range(4):
         balancer.on_request(1, i, 0, SECOND)
     assert len({c[2] for c in host.calls_named("send")}) == 4
 
 
-def test_holds_beyond_the_total_and_refuses_in_time() -> None:
+def test_requests_beyond_the_slots_are_queued_and_then_refused() -> None:
     balancer, host = build_balancer(count=1)
     for i in range(20):
         balancer.on_request(1, i, 0, SECOND)
@@ -37,7 +37,7 @@
     assert len(host.calls_named("refuse")) == 20 - sent
 
 
-def test_unsafe_that_may_have_run_is_failed_not_resent_nor_refused() -> None:
+def test_a_request_with_side_effects_that_may_have_run_is_neither_retried_nor_refused() -> None:
     balancer, host = build_balancer()
     balancer.on_request(1, 9, 1, SECOND)
     balancer.on_outcome(5 * MS, 9, 0, 2, 5 * MS, False)
@@ -45,7 +45,7 @@
     assert len(host.calls_named("send")) == 1
 
 
-def test_keyed_is_sent_again_within_its_window_only() -> None:
+def test_a_keyed_request_is_retried_within_its_window_only() -> None:
     balancer, host = build_balancer()
     balancer.on_request(MS, 1, 2, SECOND)
     balancer.on_request(MS, 2, 2, SECOND)
@@ -55,7 +55,7 @@
     assert host.calls_named("refuse") == [("refuse", 2)]
 
 
-def test_a_request_told_twice_is_answered_once() -> None:
+def test_a_request_reported_twice_is_served_once() -> None:
     balancer, host = build_balancer()
     balancer.on_request(1, 9, 0, SECOND)
     balancer.on_request(1, 9, 0, SECOND)
@@ -64,29 +64,29 @@
     assert balancer.in_flight == 0 and not balancer.requests
 
 
-def test_unsafe_that_never_ran_is_sent_again() -> None:
+def test_a_request_with_side_effects_that_never_ran_is_retried() -> None:
     balancer, host = build_balancer()
     balancer.on_request(1, 9, 1, SECOND)
     balancer.on_outcome(5 * MS, 9, 0, 3, 5 * MS, False)
     assert len(host.calls_named("send")) == 2
 
 
-def test_every_queued_request_is_answered_by_its_own_time() -> None:
-    """A head that may wait longer must not hide those behind it."""
-    near = RequestClass("near", 200 * MS, 250 * MS, Effect.SIDE_EFFECT)
-    balancer, host = build_balancer(Settings(classes=(near,)), count=1)
+def test_a_queued_request_is_refused_in_time_behind_one_that_may_wait_longer() -> None:
+    """A request at the front of the queue must not hide that those behind it are due."""
+    short_deadline = RequestClass("near", 200 * MS, 250 * MS, Effect.SIDE_EFFECT)
+    balancer, host = build_balancer(Settings(classes=(short_deadline,)), count=1)
     for i in range(10):
         balancer.on_request(1, i, 0, 250 * MS)
-    held = balancer.total_slots
+    slots = balancer.total_slots
     balancer.on_request(1, 90, 0, 170 * MS)
-    assert len(host.calls_named("send")) == held
+    assert len(host.calls_named("send")) == slots
     due = min(int(str(c[2])) for c in host.calls_named("timer") if c[1] == 1)
     balancer.on_timer(due, 1)
     assert host.calls_named("refuse") == [("refuse", 90)]
 
 
-def test_a_full_backend_rests() -> None:
-    """It answers at once, so it would always hold fewest and draw everything."""
+def test_a_backend_that_rejects_requests_is_paused() -> None:
+    """A full backend answers at once, has the fewest in flight and would attract all traffic."""
     balancer, host = build_balancer(Settings(classes=(PURE, UNSAFE), max_attempts=2), count=2)
     for i in range(20):
         balancer.on_request(MS * i, i, 0, SECOND)
@@ -97,8 +97,8 @@
     assert len(to_full) == 1
 
 
-def test_time_outs_cut_the_level() -> None:
-    """Answers alone would make a jam look like light load."""
+def test_time_outs_cut_the_concurrency_limit() -> None:
+    """Judged by answers alone, an overload would look like light load."""
     balancer, host = build_balancer()
     before = balancer.concurrency_limit
     for i in range(8):
@@ -109,8 +109,9 @@
     assert balancer.concurrency_limit < before
 
 
-def test_answers_that_go_astray_among_quick_ones_do_not_cut_the_level() -> None:
-    """One in ten is never answered and the others are quick: fewer slots would lose more."""
+def test_lost_answers_among_quick_ones_do_not_cut_the_concurrency_limit() -> None:
+    """One request in ten is never answered and the others are answered quickly: with fewer
+    slots, more requests would be lost."""
     balancer, host = build_balancer(count=8)
     before = balancer.concurrency_limit
     for cycle in range(1, 9):
@@ -128,8 +129,8 @@
     assert balancer.concurrency_limit >= before
 
 
-def test_hung_backends_do_not_cut_the_level() -> None:
-    """One long time-out among answers is a matter of that backend's health."""
+def test_a_hung_backend_does_not_cut_the_concurrency_limit() -> None:
+    """One long time-out among answers concerns the health of its backend, not the load."""
     slow = RequestClass("slow", 200 * MS, 6 * SECOND, Effect.SIDE_EFFECT, late_value=0.3)
     balancer, host = build_balancer(Settings(classes=(slow,)))
     before = balancer.concurrency_limit
@@ -142,8 +143,9 @@
     assert balancer.concurrency_limit >= before
 
 
-def test_a_class_near_its_aim_on_idle_backends_does_not_pin_the_level() -> None:
-    """Only what crowding adds counts: some classes take half their aim anyway."""
+def test_a_slow_class_on_idle_backends_does_not_hold_the_concurrency_limit_down() -> None:
+    """Only the latency that congestion adds counts: some classes take half of their latency
+    target on an idle backend."""
     balancer, host = build_balancer()
     before = balancer.concurrency_limit
     for k in range(8):
@@ -157,43 +159,44 @@
     assert balancer.concurrency_limit > before
 
 
-def test_state_changes_are_logged_once_a_second() -> None:
+def test_ejections_are_logged_at_most_once_a_second() -> None:
     balancer, host = build_balancer(count=6)
     for i in range(4):
         balancer.on_request(MS, i, 1, SECOND)
     for backend in balancer.backends.values():
-        backend.consecutive_failures = 1  # a failed dial is not the first
+        backend.consecutive_failures = 1  # a first failed connection would only pause
     for i in range(3):
         balancer.on_outcome(2 * MS, i, 0, 5, MS, True)
     assert balancer.ejected_count == 3 and len(host.calls_named("log")) == 1
 
 
-def test_time_unread_at_the_host_counts_against_the_aim_and_no_more() -> None:
+def test_read_delay_shortens_the_target_but_is_not_taken_for_the_clients_time() -> None:
     balancer, host = build_balancer(count=1)
-    for i in range(40):  # what first tries come with
+    for i in range(40):  # the time left that first tries come with
         balancer.on_request(1, i, 0, SECOND)
     balancer.on_request(MS, 40, 0, 960 * MS, read_delay=40 * MS)
     unread = balancer.requests[40]
     assert unread.target_at == MS + 160 * MS
     assert not unread.low_priority
     balancer.on_request(MS, 41, 0, 700 * MS, read_delay=300 * MS)
-    assert balancer.requests[41].low_priority  # past its aim before it was read
+    assert balancer.requests[41].low_priority  # past its latency target before it was read
 
 
-def test_a_network_that_breaks_connections_leaves_the_fleet_in_and_warm() -> None:
-    """One in twenty breaks, from any backend: taken for restarts, half the fleet was cold."""
+def test_connections_that_the_network_breaks_do_not_eject_the_fleet() -> None:
+    """One connection in twenty breaks, at any backend. When breaks counted as restarts, half of
+    the fleet was in slow start."""
     balancer, host = build_balancer(count=10)
     for i in range(4000):
         now = i * 5 * MS
         balancer.on_timer(now, 1)
         balancer.on_request(now, i, 1, SECOND)
-        code = 6 if i % 20 < 2 and i % 40 < 20 else 1  # also two in a row
+        code = 6 if i % 20 < 2 and i % 40 < 20 else 1  # sometimes two in a row
         balancer.on_outcome(now + 2 * MS, i, 0, code, 2 * MS, code == 1)
     assert balancer.ejected_count <= 1
     assert not any(b.slow_start_until for b in balancer.backends.values())
 
 
-def test_a_backend_that_breaks_whatever_it_gets_is_left_out() -> None:
+def test_a_backend_that_breaks_every_connection_is_ejected() -> None:
     balancer, host = build_balancer(count=6)
     for i in range(4000):
         now = i * 5 * MS
@@ -205,8 +208,8 @@
     assert balancer.backends[100].ejected_until
 
 
-def test_a_single_time_out_leaves_a_backend_in() -> None:
-    """Under load attempts time out at healthy backends; three in a row are silence."""
+def test_three_time_outs_in_a_row_eject_a_backend_and_fewer_do_not() -> None:
+    """Under load, attempts time out at healthy backends too; three in a row are silence."""
     balancer, host = build_balancer(Settings(classes=(UNSAFE,)), count=4)
     backend = balancer.backends[100]
     for i in range(40):
@@ -223,7 +226,7 @@
     assert backend.ejected_until
 
 
-def test_worth_moves_shares_when_requests_are_refused() -> None:
+def test_a_class_of_higher_value_gets_a_larger_share_under_overload() -> None:
     rich = RequestClass("rich", 200 * MS, SECOND, Effect.SIDE_EFFECT, value=10.0)
     poor = RequestClass("poor", 200 * MS, SECOND, Effect.SIDE_EFFECT, value=1.0)
     balancer, host = build_balancer(Settings(classes=(rich, poor)), count=6)
@@ -239,7 +242,7 @@
     assert balancer.classes[0].share > 2 * balancer.classes[1].share
 
 
-def test_round_robin_keeps_each_share_running() -> None:
+def test_round_robin_keeps_each_class_at_its_share() -> None:
     balancer, host = build_balancer(count=6)
     total = balancer.total_slots
     balancer.classes[0].share, balancer.classes[1].share = total - 4, 3
@@ -254,7 +257,7 @@
     assert [c.in_flight for c in balancer.classes] == [total - 4, 3, 1]
 
 
-def test_beyond_quota_waits_behind_and_tenants_take_turns() -> None:
+def test_requests_beyond_quota_wait_behind_and_tenants_take_turns_by_share() -> None:
     tenants = (Tenant("a", 0.75, 1000.0), Tenant("b", 0.45, 1000.0), Tenant("c", 0.1, 1.0))
     balancer, host = build_balancer(Settings(classes=(PURE,), tenants=tenants), count=1)
     for i in range(balancer.total_slots):
@@ -272,37 +275,38 @@
     assert sent.count(1) == 5 and sent.count(2) == 3 and sent.count(3) == 1
 
 
-def test_no_order_comes_from_the_deal_of_slots_twice() -> None:
-    """With more nodes than slots each backend's slots fall to different nodes."""
-    given: dict[int, int] = {}
+def test_all_nodes_together_hold_each_backends_slots_once() -> None:
+    """With more nodes than slots, the slots of each backend go to different nodes."""
+    slots: dict[int, int] = {}
     for node in range(24):
         balancer, _ = build_balancer(Settings(classes=(PURE,), node=node, balancers=24), count=48)
         for b in balancer.backends.values():
-            given[b.id] = given.get(b.id, 0) + b.slot_limit
-    assert set(given.values()) == {4}
+            slots[b.id] = slots.get(b.id, 0) + b.slot_limit
+    assert set(slots.values()) == {4}
 
 
-def test_draining_backend_gets_nothing_new() -> None:
+def test_a_draining_backend_gets_no_new_requests() -> None:
     balancer, host = build_balancer(count=1)
     balancer.on_backend_list(5, Update.DELTA, [Listing(100, State.DRAINING)])
     balancer.on_request(6, 1, 0, SECOND)
     assert host.calls_named("send") == []
 
 
-def test_a_cold_backends_slots_grow_as_it_warms() -> None:
-    """A zone just restarted is not held to two slots a backend until all is over."""
+def test_slots_grow_during_slow_start() -> None:
+    """The backends of a zone that has just restarted must not be held to two slots each until
+    the end of their slow start."""
     start = Listing(100, State.READY, started_at=20 * SECOND)
     settings = Settings(classes=(PURE,), slow_start=10 * SECOND, slow_start_fraction=0.2)
     balancer, _ = build_balancer(settings, count=1)
     balancer.concurrency_limit = 20.0
-    caps = []
+    slot_limits = []
     for after in (1, 5 * SECOND, 9 * SECOND):
         balancer.on_backend_list(20 * SECOND + after, Update.DELTA, [start])
-        caps.append(balancer.backends[100].slot_limit)
-    assert caps == [4, 12, 18]
+        slot_limits.append(balancer.backends[100].slot_limit)
+    assert slot_limits == [4, 12, 18]
 
 
-def test_cold_backend_gets_its_part_only() -> None:
+def test_a_backend_in_slow_start_gets_fewer_requests() -> None:
     cold = [Listing(100 + i, State.READY) for i in range(3)]
     balancer, host = build_balancer(Settings(classes=(PURE,), slow_start=10 * SECOND), count=3)
     now = 20 * SECOND
@@ -311,11 +315,11 @@
         at = now + i * 5 * MS
         balancer.on_request(at, i, 0, SECOND)
         balancer.on_outcome(at + MS, i, 0, 1, MS, True)
-    got = [c[2] for c in host.calls_named("send")]
-    assert got.count(100) < got.count(101) / 5
+    receivers = [c[2] for c in host.calls_named("send")]
+    assert receivers.count(100) < receivers.count(101) / 5
 
 
-def test_ask_mode_asks_again_after_a_failed_call() -> None:
+def test_a_failed_list_call_is_repeated() -> None:
     host = RecordingHost()
     balancer = Balancer(Settings(classes=(PURE,), ask=True), 1, host)
     balancer.start(0)
@@ -328,7 +332,7 @@
     assert len(host.calls_named("watch")) == 2
 
 
-def test_settings_are_checked() -> None:
+def test_invalid_settings_and_classes_are_rejected() -> None:
     with pytest.raises(ValueError, match="class"):
         Settings(classes=())
     with pytest.raises(ValueError, match="balancers"):
@@ -338,30 +342,30 @@
         balancer.on_request(0, 1, 5, SECOND)
 
 
-def test_a_jam_from_the_start_is_not_taken_for_the_uncrowded_state() -> None:
-    """Born in overload, the lowest mean ever seen is the jam's own."""
+def test_an_overload_from_the_start_still_cuts_the_concurrency_limit() -> None:
+    """A node that starts in an overload learns the overload's latency as its baseline."""
     balancer, host = build_balancer(count=20)
     before = 0.0
     for cycle in range(12):
         start = cycle * 500 * MS
-        if cycle == 3:  # enough seen for the jam's mean to have become the base
+        if cycle == 3:  # enough answers for the overload's mean to be the baseline
             assert balancer.classes[1].baseline_latency > 100 * MS
             before = balancer.concurrency_limit
         for i in range(20):
             balancer.on_request(start, cycle * 100 + i, 1, SECOND)
         for c in host.calls_named("send"):
-            # Every backend answers, and every fifth attempt runs into its aim.
-            rid = int(str(c[1]))
-            late = (rid + cycle) % 5 == 0
+            # Every backend answers, and every fifth attempt times out at its latency target.
+            request_id = int(str(c[1]))
+            late = (request_id + cycle) % 5 == 0
             taken = (195 if late else 110) * MS
-            balancer.on_outcome(start + taken, rid, 0, 4 if late else 1, taken, False)
+            balancer.on_outcome(start + taken, request_id, 0, 4 if late else 1, taken, False)
         host.calls.clear()
         balancer.on_timer(start + 400 * MS, 2)
     assert balancer.concurrency_limit < before
 
 
 def test_a_marked_client_retry_waits_behind_first_tries() -> None:
-    """Told to stay away past its aim, a client that is back is late already."""
+    """A client that was told to wait past its latency target is late when it retries."""
     balancer, host = build_balancer(Settings(classes=(PURE,), max_retry_after=SECOND), count=1)
     for i in range(balancer.total_slots):
         balancer.on_request(MS, i, 0, SECOND)
@@ -374,28 +378,30 @@
 
 
 @pytest.mark.parametrize(
-    ("longest", "marks", "told"),
+    ("longest_wait", "marks_retries", "expected_wait"),
     [(SECOND, False, 0), (SECOND, True, SECOND), (100 * MS, False, 100 * MS)],
 )
-def test_no_wait_past_the_aim_is_asked_of_unmarked_clients(
-    longest: int, marks: bool, told: int
+def test_clients_that_do_not_mark_retries_are_not_told_to_wait_past_the_target(
+    longest_wait: int, marks_retries: bool, expected_wait: int
 ) -> None:
-    """They would come back late, look like new, and keep a jam going."""
-    settings = Settings(classes=(PURE,), max_retry_after=longest, clients_mark_retries=marks)
+    """Such clients would return late, look like first tries, and keep an overload going."""
+    settings = Settings(
+        classes=(PURE,), max_retry_after=longest_wait, clients_mark_retries=marks_retries
+    )
     balancer, host = build_balancer(settings, count=1)
     for i in range(20):
         balancer.on_request(1, i, 0, SECOND)
     balancer.on_timer(190 * MS, 1)
-    assert host.retry_afters and set(host.retry_afters) == {told}
+    assert host.retry_afters and set(host.retry_afters) == {expected_wait}
 
 
-def test_a_try_late_by_its_first_waits_behind() -> None:
-    """Less time left than usual tells how long ago the client began."""
+def test_a_retry_that_is_late_already_waits_behind_first_tries() -> None:
+    """A time left that is shorter than usual tells how long ago the client began."""
     balancer, host = build_balancer(Settings(classes=(PURE,)), count=1)
     for i in range(balancer.total_slots):
         balancer.on_request(MS, i, 0, 500 * MS)
-    balancer.on_request(MS, 50, 0, 300 * MS)  # began 700 ms ago, its aim is 200
-    balancer.on_request(MS, 51, 0, 980 * MS)  # a last try, begun 20 ms ago
+    balancer.on_request(MS, 50, 0, 300 * MS)  # began 700 ms ago, its target is 200 ms
+    balancer.on_request(MS, 51, 0, 980 * MS)  # a last try, which began 20 ms ago
     balancer.on_request(MS, 52, 0, 500 * MS)
     host.calls.clear()
     for i in range(3):
@@ -403,31 +409,35 @@
     assert [c[1] for c in host.calls_named("send")] == [51, 52, 50]
 
 
-@pytest.mark.parametrize(("hasty", "refused"), [(0, 1), (4, 0)])
-def test_clients_that_are_hasty_by_nature_are_not_refused_as_late(hasty: int, refused: int) -> None:
-    """Many came with little time left while nothing had failed: that was no further try.
+@pytest.mark.parametrize(("short_deadline_count", "refused"), [(0, 1), (4, 0)])
+def test_first_tries_with_short_deadlines_are_not_refused_as_late(
+    short_deadline_count: int, refused: int
+) -> None:
+    """Requests that have little time left while nothing has failed are first tries.
 
-    Under strain a node of thin traffic refuses at once what looks late. Where a fifth of
-    the clients is in haste that refused a quarter of all first tries beside free slots.
+    While backends are overloaded, a node with little traffic refuses at once what looks late.
+    Where a fifth of the clients set short deadlines, that refused a quarter of all first tries
+    beside free slots.
     """
     balancer, host = build_balancer(Settings(classes=(PURE,), balancers=40, zones=2), count=3)
-    calm = 1100 * MS
+    calm_start = 1100 * MS
     for i in range(20):
-        left = 100 * MS if 10 <= i < 10 + hasty else SECOND
-        balancer.on_request(calm + i, i, 0, left)
-        balancer.on_outcome(calm + i, i, 0, 1, 1000, True)
-    balancer.on_request(calm + MS, 30, 0, SECOND)
-    balancer.on_outcome(calm + 2 * MS, 30, 0, 4, 1000, True)  # a time-out: servers may be short
+        time_left = 100 * MS if 10 <= i < 10 + short_deadline_count else SECOND
+        balancer.on_request(calm_start + i, i, 0, time_left)
+        balancer.on_outcome(calm_start + i, i, 0, 1, 1000, True)
+    balancer.on_request(calm_start + MS, 30, 0, SECOND)
+    # A time-out: backends may be overloaded.
+    balancer.on_outcome(calm_start + 2 * MS, 30, 0, 4, 1000, True)
     assert not balancer.in_flight
     host.calls.clear()
-    balancer.on_request(calm + 10 * MS, 50, 0, 100 * MS)
+    balancer.on_request(calm_start + 10 * MS, 50, 0, 100 * MS)
     assert len(host.calls_named("refuse")) == refused
     assert len(host.calls_named("send")) == 1 - refused
 
 
 @pytest.mark.parametrize("loss", ["refused", "timed out", "turned away", "started"])
-def test_what_looks_late_after_a_loss_is_not_taken_for_haste(loss: str) -> None:
-    """A further try needs a first one that was lost, here or at the node before this start."""
+def test_late_retries_after_a_loss_are_not_counted_as_short_deadlines(loss: str) -> None:
+    """A retry follows a first try that was lost, at this node or before this node started."""
     balancer, host = build_balancer(Settings(classes=(PURE,), balancers=40, zones=2), count=3)
     now = 1100 * MS
     if loss == "started":
@@ -449,23 +459,25 @@
     assert balancer.calm_late_count == 0
 
 
-def test_first_tries_are_not_taken_for_late_beside_longer_last_tries() -> None:
-    """Last tries may have the most time left; judged by them all others looked late."""
+def test_first_tries_do_not_look_late_beside_last_tries_with_more_time() -> None:
+    """Last tries may have the most time left: measured by them, all others would look late."""
     balancer, _ = build_balancer(Settings(classes=(PURE,)), count=1)
     for i in range(30):
         balancer.on_request(MS, i, 0, 980 * MS if i % 3 == 2 else 400 * MS)
     assert balancer.waiting_low_priority == 0 and balancer.waiting > 0
 
 
-def test_times_left_that_vary_tell_nothing() -> None:
+def test_requests_are_not_taken_for_late_when_times_left_vary() -> None:
     balancer, _ = build_balancer(Settings(classes=(PURE,)), count=1)
     for i in range(40):
         balancer.on_request(MS, i, 0, (1000 - 25 * (i * 7 % 40)) * MS)
-    assert balancer.waiting_low_priority <= 2  # only while few have been seen
+    # Only the first requests are, before the node has seen how much the times left vary.
+    assert balancer.waiting_low_priority <= 2
 
 
-def test_errors_that_come_at_once_leave_the_retry_budget_alone() -> None:
-    """Charged in full, a few failing backends used it up and others idled."""
+def test_errors_that_come_at_once_do_not_use_up_the_retry_budget() -> None:
+    """When such errors were charged in full, a few failing backends used up the budget while
+    other backends idled."""
     balancer, host = build_balancer(Settings(classes=(PURE,), max_attempts=3))
     for i in range(40):
         balancer.on_request(MS * i, i, 0, SECOND)
@@ -474,7 +486,7 @@
     assert len(host.calls_named("send")) == 80
 
 
-def test_slow_errors_are_bounded_by_the_retry_budget() -> None:
+def test_the_retry_budget_bounds_retries_after_slow_errors() -> None:
     balancer, host = build_balancer(Settings(classes=(PURE,), max_attempts=3))
     for i in range(40):
         balancer.on_request(SECOND * i, i, 0, SECOND)
@@ -483,51 +495,55 @@
     assert len(host.calls_named("send")) < 80
 
 
-def answers(balancer: Balancer, host: RecordingHost, start: int, count: int, taken: int) -> None:
+def run_cycle(
+    balancer: Balancer, host: RecordingHost, start: int, count: int, duration: int
+) -> None:
+    """Run one cycle in which `count` requests are answered after `duration` each."""
     for i in range(count):
         balancer.on_request(start, start // MS * 100 + i, 0, SECOND)
     for c in host.calls_named("send"):
-        balancer.on_outcome(start + taken, int(str(c[1])), 0, 1, taken, True)
+        balancer.on_outcome(start + duration, int(str(c[1])), 0, 1, duration, True)
     host.calls.clear()
     balancer.on_timer(start + 400 * MS, 2)
 
 
-def test_a_class_seen_too_little_does_not_sink_the_level() -> None:
-    """Its uncrowded latency is not known yet: most of the aim may be usual."""
+def test_a_class_without_a_baseline_does_not_cut_the_concurrency_limit() -> None:
+    """Until a class's baseline latency is known, most of its latency target may be usual."""
     balancer, host = build_balancer(count=20)
     before = balancer.concurrency_limit
     for k in range(4):
-        answers(balancer, host, k * SECOND // 2, 4, 150 * MS)
+        run_cycle(balancer, host, k * SECOND // 2, 4, 150 * MS)
     assert balancer.concurrency_limit >= before
 
 
-def test_a_thin_class_is_judged_over_several_cycles() -> None:
+def test_a_class_with_few_answers_is_judged_over_several_cycles() -> None:
     balancer, host = build_balancer(count=20)
     for k in range(8):
-        answers(balancer, host, k * SECOND // 2, 5, 100 * MS)
+        run_cycle(balancer, host, k * SECOND // 2, 5, 100 * MS)
     before = balancer.concurrency_limit
-    answers(balancer, host, 4 * SECOND, 3, 180 * MS)  # three answers are chance
+    run_cycle(balancer, host, 4 * SECOND, 3, 180 * MS)  # three slow answers may be chance
     assert balancer.concurrency_limit >= before
     for k in range(9, 13):
-        answers(balancer, host, k * SECOND // 2, 5, 180 * MS)
+        run_cycle(balancer, host, k * SECOND // 2, 5, 180 * MS)
     assert balancer.concurrency_limit < before
 
 
-def test_few_answers_of_one_jam_cut_the_level_once() -> None:
+def test_few_answers_of_one_overload_cut_the_concurrency_limit_once() -> None:
     balancer, host = build_balancer(count=20)
     for k in range(8):
-        answers(balancer, host, k * SECOND // 2, 10, 60 * MS)
+        run_cycle(balancer, host, k * SECOND // 2, 10, 60 * MS)
     before = balancer.concurrency_limit
-    answers(balancer, host, 4 * SECOND, 5, 190 * MS)
-    cut = balancer.concurrency_limit
-    assert cut < before
-    for k in range(9, 13):  # one quick answer a cycle tells nothing of a jam
-        answers(balancer, host, k * SECOND // 2, 1, 60 * MS)
-    assert balancer.concurrency_limit == cut
+    run_cycle(balancer, host, 4 * SECOND, 5, 190 * MS)
+    after_cut = balancer.concurrency_limit
+    assert after_cut < before
+    for k in range(9, 13):  # one quick answer a cycle is no sign of overload
+        run_cycle(balancer, host, k * SECOND // 2, 1, 60 * MS)
+    assert balancer.concurrency_limit == after_cut
 
 
-def test_a_class_turned_away_at_a_small_share_gets_out_of_it() -> None:
-    """Eq. 8 with a refused class's mean predicts that one more slot cures it."""
+def test_a_class_that_is_mostly_refused_gets_a_larger_share() -> None:
+    """With the mean of a class that is mostly refused, equation 8 predicts that one more slot is
+    enough."""
     poor = RequestClass("poor", 800 * MS, SECOND, Effect.SIDE_EFFECT, value=1.0)
     rich = RequestClass("rich", 750 * MS, SECOND, Effect.SIDE_EFFECT, value=5.0)
     balancer, host = build_balancer(Settings(classes=(poor, rich)), count=40)
@@ -543,27 +559,27 @@
     assert balancer.classes[1].share > 20
 
 
-def test_fractions_of_a_slot_are_dealt_not_rounded_up() -> None:
-    """A level just over 2 must not put a third request on every backend."""
+def test_fractions_of_a_slot_are_not_rounded_up_at_every_backend() -> None:
+    """A limit just over 2 must not put a third request on every backend."""
     balancer, host = build_balancer(count=20)
-    for level, slots in ((1.0, 20), (2.0, 40), (2.1, 42), (2.5, 50)):
-        balancer.concurrency_limit = level
+    for limit, slots in ((1.0, 20), (2.0, 40), (2.1, 42), (2.5, 50)):
+        balancer.concurrency_limit = limit
         balancer.update_slot_limits()
         assert abs(balancer.total_slots - slots) <= 1
 
 
 @pytest.mark.parametrize("within", [2 * SECOND, 10 * SECOND])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_failed_list_calls_are_repeated_within_the_stated_time(within: int, seed: int) -> None:
-    """A node that does not ask counts as told of drains it never heard of."""
+def test_failed_list_calls_are_repeated_within_the_configured_time(within: int, seed: int) -> None:
+    """A node counts as informed of drains even if its list calls fail, so it must repeat them."""
     settings = Settings(classes=(PURE,), ask=True, ask_within=within, balancers=50)
     balancer, host = build_balancer(settings, seed=seed)
-    asked = [0]
-    while len(asked) < 12:
+    call_times = [0]
+    while len(call_times) < 12:
         due = min(int(str(c[2])) for c in host.calls_named("timer") if c[1] == 3)
         host.calls.clear()
         balancer.on_timer(due, 3)
         assert host.calls_named("watch")
-        asked.append(due)
+        call_times.append(due)
         balancer.on_backend_list(due + 250 * MS, Update.FAILED)
-    assert max(b - a for a, b in pairwise(asked)) <= within
+    assert max(b - a for a, b in pairwise(call_times)) <= within
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -1,4 +1,4 @@
-"""The greedy solve against brute force, and the curve it climbs."""
+"""Max-min shares: the greedy computation is compared with a search of all shares."""
 
 from __future__ import annotations
 
@@ -16,21 +16,23 @@
 Flow = tuple[float, float, float, float, float]
 
 
-def stand(flow: Flow, share: int) -> float:
-    rate, mean, old, aim, worth = flow
-    if rate <= 0 or mean <= 0:
+def flow_utility(flow: Flow, share: int) -> float:
+    """Utility of one class at this share, as the solver judges it."""
+    rate, mean_time, old_share, target, value = flow
+    if rate <= 0 or mean_time <= 0:
         return 1.0
-    t = predict_response_time(rate, mean, max(old, 1.0), share)
-    if t == float("inf"):
-        return -worth * (MAX_PREDICTED_TARGET_RATIO - 1.0) - worth * rate * aim / share
-    return utility(aim, t, worth)
+    predicted = predict_response_time(rate, mean_time, max(old_share, 1.0), share)
+    if predicted == float("inf"):
+        return -value * (MAX_PREDICTED_TARGET_RATIO - 1.0) - value * rate * target / share
+    return utility(target, predicted, value)
 
 
-def best(total: int, flows: list[Flow]) -> float:
-    n = len(flows)
+def best_lowest_utility(total: int, flows: list[Flow]) -> float:
+    """The highest value that the lowest utility reaches under any shares of `total` slots."""
+    class_count = len(flows)
     return max(
-        min(stand(f, s) for f, s in zip(flows, shares, strict=True))
-        for shares in product(range(1, total - n + 2), repeat=n)
+        min(flow_utility(f, s) for f, s in zip(flows, shares, strict=True))
+        for shares in product(range(1, total - class_count + 2), repeat=class_count)
         if sum(shares) == total
     )
 
@@ -46,13 +48,13 @@
 
 @pytest.mark.parametrize("flows", CASES)
 @pytest.mark.parametrize("total", [3, 5, 9, 12])
-def test_greedy_is_max_min(flows: list[Flow], total: int) -> None:
+def test_greedy_shares_reach_the_best_lowest_utility(flows: list[Flow], total: int) -> None:
     shares = solve_max_min_shares(total, flows)
     assert sum(shares) == total
     assert min(shares) >= 1
-    got = min(stand(f, s) for f, s in zip(flows, shares, strict=True))
-    assert got == pytest.approx(best(total, flows))
+    lowest = min(flow_utility(f, s) for f, s in zip(flows, shares, strict=True))
+    assert lowest == pytest.approx(best_lowest_utility(total, flows))
 
 
-def test_too_few_slots_gives_each_class_one() -> None:
+def test_each_class_gets_one_slot_when_there_are_too_few() -> None:
     assert solve_max_min_shares(2, CASES[1]) == [1, 1, 1]
