--- a/flinthatch/balancer.py
+++ b/flinthatch/balancer.py
@@ -54,7 +54,7 @@
 # Answers that the congestion of a class is judged by; a smaller number is carried over to
 # the next cycle.
 CONGESTION_SAMPLE_COUNT = 10
-MAX_TARGET_RATIO = 1.2  # latency that one attempt counts as at most, in latency targets
+MAX_SAMPLE_TARGET_RATIO = 1.2  # latency that an attempt counts as at most, in latency targets
 # Rejections by backends above this fraction of all outcomes cut the limit.
 MAX_REJECTED_FRACTION = 0.05
 # Time-outs at backends that otherwise answer, above this fraction of all outcomes, cut the
@@ -62,8 +62,9 @@
 MAX_TIMED_OUT_FRACTION = 0.04
 TIMEOUT_CUT_MIN_TARGET_RATIO = 0.35
 REMOTE_LIMIT_FRACTION = 0.34  # part of the limit that nodes of other zones share
-# Golden section: the rounding offsets of any run of consecutive backends are spread evenly,
-# so the number of limits that round up is in proportion to the fraction.
+# Step between the rounding offsets of consecutive backends. The golden section spreads the
+# offsets of any run of backends evenly, so that the part of them that round the limit up
+# matches the limit's fraction.
 ROUNDING_OFFSET_STEP = 0.618034
 MIN_SLOTS_PER_NODE = 4  # slots that a node holds at least, however many nodes share them
 # Latency of a backend, relative to the fleet, above which the backend's own limit shrinks.
@@ -75,8 +76,8 @@
 # are served are then served well within their latency target, and a client that retries at
 # once can still be served in time: with half of the slack, a fifth of the answers were late.
 MAX_QUEUE_WAIT_FRACTION = 0.25
-# A node is one of many when the minimum of slots of all nodes in its zone comes to this
-# many slots at each of the zone's backends.
+# A node is one of many when MIN_SLOTS_PER_NODE, taken for all nodes of its zone, adds up to
+# at least this many slots for each backend of the zone.
 MANY_NODES_SLOTS_PER_BACKEND = 2
 # Backends count as overloaded for this long after one rejected an attempt or timed out.
 OVERLOAD_HOLD_NS = SECOND
@@ -91,7 +92,8 @@
 SHORT_DEADLINE_MIN_FRACTION = 0.08
 SHORT_DEADLINE_MIN_COUNT = 2
 CALM_COUNT_DECAY_RATIO = 0.999  # decay of the counts of calm times per cycle
-# An attempt that has not started within this time of its client's half-close is not started.
+# An attempt that has not been sent within this time after its client's half-close is not sent
+# any more.
 HALF_CLOSE_GRACE_NS = 50 * MS
 # Part of the latency target by which an attempt is ended before the target.
 TARGET_MARGIN_FRACTION = 0.03
@@ -100,7 +102,7 @@
 ATTEMPT_TIMEOUT_LATENCY_RATIO = 5.0
 ATTEMPT_TIMEOUT_MIN_TARGET_FRACTION = 1.0
 RETRY_BUDGET_FRACTION = 0.1  # retries that each first attempt adds to the retry budget
-RETRY_BUDGET_BURST_COUNT = 10.0
+RETRY_BUDGET_BURST_COUNT = 10.0  # retries that the budget can hold
 # Backoff of calls for the backend list, doubled with each failure; the wait is drawn from
 # half to one and a half of it. The node counts as informed of a change 6 s after the list
 # has it, whatever became of the calls, so the backoff has to stay short.
@@ -128,12 +130,14 @@
 # must not be repeated. One recent error exceeds the fraction, and so do a few older ones.
 UNRELIABLE_HOLD_NS = SECOND
 UNRELIABLE_ERROR_FRACTION = 0.2
+# An ejection lasts for the backoff, which doubles with each further one up to its maximum.
 EJECTION_BACKOFF_NS = SECOND
 MAX_EJECTION_BACKOFF_NS = 8 * SECOND
 # Computation of the class shares.
 CYCLE_NS = SECOND // 2
 # Decay of a class's sums per cycle, so that sparse traffic is averaged over some seconds.
 CYCLE_DECAY_RATIO = 0.85
+# Exponents of the utility curve: where the latency target is met, and where it is missed.
 UTILITY_ALPHA = 1.0
 UTILITY_BETA = 1.0
 MAX_PREDICTED_TARGET_RATIO = 10.0  # bound of predicted times, in latency targets
@@ -145,16 +149,18 @@
 # Slow start: the part of the configured budget that all nodes together use. The rest covers
 # nodes whose lists differ and requests that are heavier than the mean.
 SLOW_START_BUDGET_FRACTION = 0.7
-MIN_SLOW_START_SLOT_COUNT = 2
+MIN_SLOW_START_SLOT_COUNT = 2  # slots below which slow start does not reduce the limit
 
 INFINITE = float("inf")
-NEVER = 1 << 63
+NEVER = 1 << 63  # a time, in nanoseconds, that is not reached
 
+# Tokens of the timers that a Balancer sets.
 TIMER_WAKE = 1
 TIMER_CYCLE = 2
 TIMER_LIST = 3
 
 
+# Rejected, connection failed, moot: the backend did not run the request.
 OUTCOMES_NEVER_RAN = (3, 5, 8)
 OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET = 1, 2, 3, 4, 5, 6
 # Timed out, reset, cancelled: no answer came, and the backend may still be working.
@@ -593,20 +599,21 @@
         self.ready_count = 0
         remote_node_count = max(1, settings.balancers - self.zone_node_count)
         remote_backend_count = sum(
-            len(members) for zone, members in zones.items() if zone != settings.zone
+            len(zone_backends) for zone, zone_backends in zones.items() if zone != settings.zone
         )
         remote_rank = 0
         for zone in sorted(zones):
-            members = sorted(zones[zone], key=lambda b: b.id)
-            self.ready_count += len(members)
-            for rank, backend in enumerate(members):
+            zone_backends = sorted(zones[zone], key=lambda b: b.id)
+            self.ready_count += len(zone_backends)
+            for rank, backend in enumerate(zone_backends):
                 # If every backend rounded its limit up, a limit just over 2 would give each
                 # backend three slots.
                 backend.rounding_offset = rank * ROUNDING_OFFSET_STEP % 1.0
                 if backend.is_local:
                     backend.slot_offset = (
-                        self.zone_node_index - first_node(rank, len(members), self.zone_node_count)
-                    ) % (self.zone_node_count)
+                        self.zone_node_index
+                        - first_node(rank, len(zone_backends), self.zone_node_count)
+                    ) % self.zone_node_count
                 else:
                     backend.slot_offset = (
                         settings.node
@@ -636,28 +643,31 @@
         for backend in self.backends.values():
             if backend.state != State.READY:
                 continue
-            depth = limit if backend.is_local else remote_limit
+            backend_limit = limit if backend.is_local else remote_limit
             if backend.latency_ratio > SLOW_BACKEND_LATENCY_RATIO:
-                depth = min(depth, max(1.0, depth / backend.latency_ratio))
+                backend_limit = min(backend_limit, max(1.0, backend_limit / backend.latency_ratio))
             if backend.slow_start_until > self.now:
                 # With two slots for all of the slow start, a rolling release left a zone of
                 # half-warm backends idle and its nodes short of slots.
-                depth = min(
-                    depth, max(MIN_SLOW_START_SLOT_COUNT, depth * self.warm_fraction(backend))
+                backend_limit = min(
+                    backend_limit,
+                    max(MIN_SLOW_START_SLOT_COUNT, backend_limit * self.warm_fraction(backend)),
                 )
             node_count = self.zone_node_count if backend.is_local else remote_node_count
             # Local and remote nodes share one slow-start budget in the same proportion as they
             # share the limit.
-            part = (
+            budget_part = (
                 (1.0 if backend.is_local else REMOTE_LIMIT_FRACTION) / (1.0 + REMOTE_LIMIT_FRACTION)
                 if has_remote_nodes
                 else 1.0
             )
-            backend.slow_start_node_count = max(1, min(int(depth + 1.0), node_count)) / part
-            depth = int(depth + backend.rounding_offset)
+            backend.slow_start_node_count = (
+                max(1, min(int(backend_limit + 1.0), node_count)) / budget_part
+            )
+            backend_limit = int(backend_limit + backend.rounding_offset)
             slot_limit = (
-                -(-(depth - backend.slot_offset) // node_count)
-                if depth > backend.slot_offset
+                -(-(backend_limit - backend.slot_offset) // node_count)
+                if backend_limit > backend.slot_offset
                 else 0
             )
             if self.granted_slots is not None:
@@ -1268,7 +1278,7 @@
         """Learn from the duration of an attempt; return it relative to the class's mean."""
         # The time-outs of a hung backend last many latency targets. Counted in full, a handful
         # of them would look like an overload of the fleet and cut every backend's slots.
-        duration = min(duration, int(MAX_TARGET_RATIO * class_state.latency_target))
+        duration = min(duration, int(MAX_SAMPLE_TARGET_RATIO * class_state.latency_target))
         gain = 0.05 if class_state.latency_count > 20 else 0.2
         class_state.latency_count += 1
         class_state.mean_latency += gain * (duration - class_state.mean_latency)
@@ -1450,9 +1460,9 @@
         self.now = now
         if token == TIMER_WAKE:
             # An earlier wake-up sets a timer of its own, so some timers fire when nothing is
-            # due. If each of them set the next one again, their number would never fall; the
-            # timer for the wake-up that is due next is set already. Hosts may round a time
-            # down, and then this timer was that one.
+            # due. If each of them set the next one again, their number would never fall, and
+            # the timer of the next wake-up is set already. A host may round the time of a timer
+            # down: one that fires less than a millisecond early is the one that is due.
             if now + MS >= self.next_wakeup_at:
                 self.run_wakeups(now)
         elif token == TIMER_CYCLE:
