--- a/flinthatch/balancer.py
+++ b/flinthatch/balancer.py
@@ -762,7 +762,7 @@
                 pending.target_at = now + class_state.latency_target
                 pending.low_priority = True
                 if class_state.spec.late_value <= 0 and self.should_refuse_late(now):
-                    # Nobody may wait behind this request at this node, but others do at the
+                    # Perhaps no request waits behind this one at this node, but others do at the
                     # backends: 200 nodes that each had a free slot for such requests served one
                     # in eight late; the next first tries were refused, came again and were late
                     # in turn. A node with a good part of the traffic has those others in its
