--- a/flinthatch/balancer.py
+++ b/flinthatch/balancer.py
@@ -520,7 +520,11 @@
             if listing.started_at and now - listing.started_at < self.settings.slow_start:
                 backend.slow_start_until = listing.started_at + self.settings.slow_start
         else:
-            if listing.state != State.GONE and listing.started_at and listing.started_at != backend.started_at:
+            if (
+                listing.state != State.GONE
+                and listing.started_at
+                and listing.started_at != backend.started_at
+            ):
                 backend.started_at = listing.started_at
                 backend.slow_start_until = max(
                     backend.slow_start_until, listing.started_at + self.settings.slow_start
