--- a/standins/scale/hollow.py
+++ b/standins/scale/hollow.py
@@ -30,7 +30,7 @@
 from standins.scale.records import DOWN, NO_TENANT, UP, Applied, Held, digest_of_view
 from standins.scale.sizes import add_size, read_size
 from standins.scale.standstill import Watch
-from tansywood.distribution.terms import Terms
+from tansywood.distribution.parameters import Parameters
 from tansywood.fleet.keyfile import KeyFile
 
 
@@ -107,7 +107,7 @@
         world = World(
             tuple(addresses),
             KeyFile(folder / "fleet.key"),
-            Terms(),
+            Parameters(),
             plan.size.delays,
             Random(f"hollow {plan.seed} {process}"),
             self._applied,
--- a/standins/scale/life.py
+++ b/standins/scale/life.py
@@ -23,10 +23,10 @@
 from standins.scale.sizes import FLEET
 from tansywood.distribution.client import SubscriberClient
 from tansywood.distribution.messages import Changes, Kind, Message, Welcome, alias_of_host
+from tansywood.distribution.parameters import SECOND, Parameters
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.stream import Keys
 from tansywood.distribution.subscriber import Action, Answer, Apply, Subscriber
-from tansywood.distribution.terms import SECOND, Terms
 
 ALIASES_MOST = 8  # of one lookup
 FROM_THE_START = len(uid_of(0))  # characters of such a uid, which tells the tenant by itself
@@ -48,7 +48,7 @@
 
     addresses: tuple[str, ...]  # of the distributors, by number
     keys: Keys
-    terms: Terms
+    parameters: Parameters
     delays: Delays
     random: Random
     applied: BinaryIO
@@ -65,12 +65,12 @@
         self._nobodys: dict[int, int] = {}  # tenants that were not there when last asked for then
         self._created: dict[str, int] = {}  # tenants of this run, by uid
         self._stopped = False
-        self.replica = Replica(world.terms.window)
+        self.replica = Replica(world.parameters.max_resumable_changes)
         subscriber = Subscriber(
             node.name,
             world.addresses,
             self.replica,
-            world.terms,
+            world.parameters,
             Random(world.random.random()),
             time.monotonic_ns(),
         )
@@ -130,7 +130,7 @@
                 self._nobodys[tenant] = asked_at
                 self._write(tenant, 0, ABSENT)
         if nobodys:
-            wait = self._world.terms.unknown / SECOND
+            wait = self._world.parameters.unknown_alias_ttl_ns / SECOND
             asyncio.get_running_loop().call_later(wait, self._ask, nobodys)
 
     # ---- what is put into force ------------------------------------------------------------
--- a/tansywood/admin/__main__.py
+++ b/tansywood/admin/__main__.py
@@ -49,14 +49,19 @@
         return None
     # Loaded only here: an administration of one machine needs neither seals nor sessions.
     from tansywood.admin.publisher import Publisher, begin_epoch, replica_of
-    from tansywood.distribution.terms import Terms
+    from tansywood.distribution.parameters import Parameters
     from tansywood.fleet.keyfile import KeyFile
 
     registry.most_tenants = MAX_PUBLISHED
     keys = KeyFile(Path(options.key_file), lambda text: print(f"admin: {text}", file=sys.stderr))
     history = await begin_epoch(store, registry.seq, now_ms())
-    terms = Terms()
-    publisher = Publisher(replica_of(registry, history, terms.window), keys, options.fleet, terms)
+    parameters = Parameters()
+    publisher = Publisher(
+        replica_of(registry, history, parameters.max_resumable_changes),
+        keys,
+        options.fleet,
+        parameters,
+    )
     # What was loaded stays: looked through again by the collector, 110,000 tenants stop the loop
     # for a second, and distributors would take the publisher for silent.
     gc.collect()
--- a/tansywood/admin/publisher.py
+++ b/tansywood/admin/publisher.py
@@ -27,13 +27,13 @@
     Resource,
     Rollouts,
 )
+from tansywood.distribution.parameters import Parameters
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.resources import ViewError, encode
 from tansywood.distribution.rollout import RolloutBoard, Summary
 from tansywood.distribution.server import SourceServer
 from tansywood.distribution.source import Session, Source
 from tansywood.distribution.stream import Keys
-from tansywood.distribution.terms import Terms
 from tansywood.store import Batch
 from tansywood.store.aio import AsyncStore
 from tansywood.tenancy.registry import Registry
@@ -89,10 +89,12 @@
     """The registry's tenants as a source for distributors."""
 
     def __init__(
-        self, replica: Replica, keys: Keys, fleet: str, terms: Terms | None = None
+        self, replica: Replica, keys: Keys, fleet: str, parameters: Parameters | None = None
     ) -> None:
         self.replica = replica
-        self.source = Source(replica, terms or Terms(), time.monotonic_ns(), is_publisher=True)
+        self.source = Source(
+            replica, parameters or Parameters(), time.monotonic_ns(), is_publisher=True
+        )
         self.server = SourceServer(self.source, keys, fleet, self._overheard, self._gone, self._log)
         self.board = RolloutBoard()
         self.oversize = 0
@@ -121,7 +123,7 @@
         if len(self._uids) > CHANGES_KEPT:
             self._uids.popitem(last=False)
         self.source.changed(uid, revision, time.monotonic_ns())
-        self.server.pump()
+        self.server.flush()
 
     def advance(self, revision: int) -> None:
         """A change that is durable and is no tenant's."""
@@ -179,7 +181,7 @@
         elif isinstance(message, Rollouts):
             self.board.report(session.name, message.rows, message.revision)
             for distributor, names in self.board.joined(session.name, message.joined).items():
-                self.source.tell_moved(distributor, names)
+                self.source.send_moved(distributor, names)
         else:
             return
         self._wake()
--- a/tansywood/distribution/client.py
+++ b/tansywood/distribution/client.py
@@ -9,34 +9,34 @@
 from typing import Any
 
 from tansywood.distribution.messages import Message, Refusal
+from tansywood.distribution.parameters import MS
 from tansywood.distribution.source import ProtocolError
 from tansywood.distribution.stream import Keys, SealedStream
 from tansywood.distribution.subscriber import (
     Action,
     Answer,
     Apply,
-    Continued,
     Dial,
-    HangUp,
+    Disconnect,
+    EpochContinued,
     HistoryChanged,
     Link,
     Send,
     Subscriber,
 )
-from tansywood.distribution.terms import MS
 from windrelay.config import parse_address
 
-LEAST_WAIT = MS  # of a timer
-STALLED = 200 * MS  # a timer that comes so late tells that this process stood still
+MIN_TIMER_DELAY_NS = MS  # of a timer
+STALL_THRESHOLD_NS = 200 * MS  # a timer that comes so late tells that this process stood still
 
 Dialer = Callable[[str, Callable[[], SealedStream]], Coroutine[Any, Any, object]]
 Handler = Callable[[Action], None]
 
 
-async def dial(address: str, made: Callable[[], SealedStream]) -> object:
+async def dial(address: str, make_stream: Callable[[], SealedStream]) -> object:
     """Connect to IPv4:port. OSError where nobody is there."""
     loop = asyncio.get_running_loop()
-    return await loop.create_connection(made, *parse_address(address))
+    return await loop.create_connection(make_stream, *parse_address(address))
 
 
 class SubscriberClient:
@@ -49,7 +49,7 @@
         keys: Keys,
         fleet: str,
         handle: Handler,
-        overheard: Callable[[Message], None] | None = None,
+        on_message: Callable[[Message], None] | None = None,
         dialer: Dialer = dial,
     ) -> None:
         self.subscriber = subscriber
@@ -57,7 +57,7 @@
         self._keys = keys
         self._fleet = fleet
         self._handle = handle
-        self._overheard = overheard
+        self._on_message = on_message
         self._dialer = dialer
         self._stream: SealedStream | None = None
         self._attempts: dict[SealedStream, int] = {}
@@ -90,8 +90,8 @@
         self.flush()
         return question
 
-    def give_up(self, uids: list[str]) -> None:
-        self.subscriber.give_up(uids, time.monotonic_ns())
+    def unsubscribe(self, uids: list[str]) -> None:
+        self.subscriber.unsubscribe(uids, time.monotonic_ns())
         self.flush()
 
     @property
@@ -135,8 +135,8 @@
         except ProtocolError as err:
             stream.refuse("protocol", str(err))
             return
-        if self._overheard is not None:
-            self._overheard(message)
+        if self._on_message is not None:
+            self._on_message(message)
         self.flush()
 
     def writable(self, stream: SealedStream) -> None:
@@ -160,11 +160,11 @@
         while self.subscriber.actions:
             actions, self.subscriber.actions = self.subscriber.actions, []
             for action in actions:
-                self._do(action)
+                self._perform(action)
         if self._timer is not None:
             self._set_timer()
 
-    def _do(self, action: Action) -> None:
+    def _perform(self, action: Action) -> None:
         if isinstance(action, Send):
             if self._stream is not None:
                 self._stream.send(action.message)
@@ -172,21 +172,21 @@
             task = asyncio.get_running_loop().create_task(self._dial(action))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-        elif isinstance(action, HangUp):
+        elif isinstance(action, Disconnect):
             self._abort(action.attempt, action.why)
         else:
-            assert isinstance(action, Apply | Answer | Continued | HistoryChanged)
+            assert isinstance(action, Apply | Answer | EpochContinued | HistoryChanged)
             self._handle(action)
 
     async def _dial(self, action: Dial) -> None:
-        def made() -> SealedStream:
+        def make_stream() -> SealedStream:
             stream = SealedStream(self, self._keys, self._fleet, True, self.refused)
             self._attempts[stream] = action.attempt
             return stream
 
-        timeout = self.subscriber.terms.dial / 1e9
+        timeout = self.subscriber.parameters.dial_timeout_ns / 1e9
         try:
-            await asyncio.wait_for(self._dialer(action.address, made), timeout)
+            await asyncio.wait_for(self._dialer(action.address, make_stream), timeout)
         except (OSError, TimeoutError) as err:
             # A dial that is given up as it connects is closed by uvloop without connection_lost.
             for stream in self._abort(action.attempt, "given up while it was dialed"):
@@ -196,34 +196,34 @@
 
     def _abort(self, number: int, why: str) -> list[SealedStream]:
         """Close an attempt's connection now; returns it where there is one."""
-        found = [stream for stream, attempt in self._attempts.items() if attempt == number]
-        for stream in found:
+        streams = [stream for stream, attempt in self._attempts.items() if attempt == number]
+        for stream in streams:
             if stream is self._stream:
                 self._stream = None
             stream.abort(why)
-        return found
+        return streams
 
     def _set_timer(self) -> None:
         """For what is due next. A timer that is set for earlier stays: set anew with each message
         it would never run while messages come without a pause."""
-        due = max(self.subscriber.next_due(), time.monotonic_ns() + LEAST_WAIT)
+        due = max(self.subscriber.next_due(), time.monotonic_ns() + MIN_TIMER_DELAY_NS)
         if self._timer is not None:
             if self._timer_due <= due:
                 return
             self._timer.cancel()
-        self._arm(due)
+        self._start_timer(due)
 
-    def _arm(self, due: int) -> None:
+    def _start_timer(self, due: int) -> None:
         self._timer_due = due
-        wait = max(due - time.monotonic_ns(), LEAST_WAIT) / 1e9
-        self._timer = asyncio.get_running_loop().call_later(wait, self._ring)
+        wait = max(due - time.monotonic_ns(), MIN_TIMER_DELAY_NS) / 1e9
+        self._timer = asyncio.get_running_loop().call_later(wait, self._on_timer)
 
-    def _ring(self) -> None:
+    def _on_timer(self) -> None:
         now = time.monotonic_ns()
         self._timer = None
-        if now - self._timer_due > STALLED:
+        if now - self._timer_due > STALL_THRESHOLD_NS:
             # This process stood still: what came in the meantime is read before silence is judged.
-            self._arm(now + LEAST_WAIT)
+            self._start_timer(now + MIN_TIMER_DELAY_NS)
         else:
             self._tick()
 
--- a/tansywood/distribution/dialing.py
+++ b/tansywood/distribution/dialing.py
@@ -14,7 +14,7 @@
 from hashlib import blake2b
 from random import Random
 
-from tansywood.distribution.terms import Terms
+from tansywood.distribution.parameters import Parameters
 
 NEVER = 1 << 62
 
@@ -25,7 +25,7 @@
 
     number: int
     address: str
-    until: int
+    deadline: int
 
 
 class Dialing:
@@ -33,18 +33,18 @@
     while no source is followed."""
 
     def __init__(
-        self, name: str, addresses: Sequence[str], terms: Terms, random: Random, now: int
+        self, name: str, addresses: Sequence[str], parameters: Parameters, random: Random, now: int
     ) -> None:
         """`name` is the subscriber's, `addresses` are those of all sources."""
-        self.addresses = sorted(addresses, key=lambda address: _preference(name, address))
+        self.addresses = sorted(addresses, key=lambda address: _preference_key(name, address))
         self.due = now
-        self._terms = terms
+        self._parameters = parameters
         self._random = random
         self._open: dict[int, Attempt] = {}
         self._last_number = 0
         self._next_address = 0
         self._failures = 0  # since the last welcome
-        self._barred: dict[str, int] = {}
+        self._not_before: dict[str, int] = {}
 
     def __contains__(self, number: object) -> bool:
         return number in self._open
@@ -54,9 +54,9 @@
 
     def next_due(self) -> int:
         """When something is to be done, while no source is followed."""
-        return min([self.due, *(attempt.until for attempt in self._open.values())])
+        return min([self.due, *(attempt.deadline for attempt in self._open.values())])
 
-    def next(self, now: int) -> Attempt | None:
+    def next_attempt(self, now: int) -> Attempt | None:
         """The dial that is due: of the next source that did not bar us and is not being dialled.
         Where there is none it waits for the first that takes us."""
         if now < self.due:
@@ -65,22 +65,22 @@
         for _ in self.addresses:
             address = self.addresses[self._next_address % len(self.addresses)]
             self._next_address += 1
-            if address not in dialled and self._barred.get(address, now) <= now:
+            if address not in dialled and self._not_before.get(address, now) <= now:
                 return self._dial(now, address)
-        self.due = NEVER if self._open else min(self._barred.values())
+        self.due = NEVER if self._open else min(self._not_before.values())
         return None
 
     def _dial(self, now: int, address: str) -> Attempt:
         self._last_number += 1
-        attempt = Attempt(self._last_number, address, now + self._terms.dial)
+        attempt = Attempt(self._last_number, address, now + self._parameters.dial_timeout_ns)
         self._open[attempt.number] = attempt
         untried = self._failures + len(self._open) < len(self.addresses)
-        self.due = now + self._terms.attempt_delay if untried else NEVER
+        self.due = now + self._parameters.attempt_delay_ns if untried else NEVER
         return attempt
 
     def expired(self, now: int) -> list[int]:
         """Those that were not answered in time; each is then to be told as `failed`."""
-        return [attempt.number for attempt in self._open.values() if now >= attempt.until]
+        return [attempt.number for attempt in self._open.values() if now >= attempt.deadline]
 
     def answered(self, number: int) -> tuple[Attempt, list[int]]:
         """This one is followed; returns it and the others, which are to be closed."""
@@ -91,30 +91,32 @@
 
     def failed(self, number: int, now: int) -> str:
         """An open dial came to nothing; returns its address."""
-        beside = self.due
+        previous_due = self.due
         address = self._open.pop(number).address
-        self.lost(now)
+        self.source_lost(now)
         if self._open:
-            self.due = min(self.due, beside)
+            self.due = min(self.due, previous_due)
         return address
 
-    def lost(self, now: int) -> None:
+    def source_lost(self, now: int) -> None:
         """The source that was followed is lost: the next one after a random while."""
-        bound = self._terms.reconnect_first << min(self._failures, 16)
-        self.due = now + self._random.randrange(min(bound, self._terms.reconnect_most) + 1)
+        bound = self._parameters.reconnect_backoff_base_ns << min(self._failures, 16)
+        self.due = now + self._random.randrange(
+            min(bound, self._parameters.max_reconnect_backoff_ns) + 1
+        )
         self._failures += 1
 
-    def bar(self, address: str, now: int, wait: int) -> None:
+    def defer(self, address: str, now: int, wait: int) -> None:
         """Dial this one again not before that time, and a random while."""
-        wait += self._random.randrange(self._terms.reconnect_first + 1)
-        self._barred[address] = now + wait
+        wait += self._random.randrange(self._parameters.reconnect_backoff_base_ns + 1)
+        self._not_before[address] = now + wait
 
     def welcomed(self) -> None:
         """A source has taken us."""
         self._failures = 0
-        self._barred.clear()
+        self._not_before.clear()
 
 
-def _preference(name: str, address: str) -> bytes:
+def _preference_key(name: str, address: str) -> bytes:
     """Rendezvous hashing (Thaler and Ravishankar 1996): each subscriber's own order."""
     return blake2b(f"{name} {address}".encode(), digest_size=8).digest()
--- a/tansywood/distribution/distributor.py
+++ b/tansywood/distribution/distributor.py
@@ -24,13 +24,19 @@
 import uvloop
 
 from tansywood.distribution.client import SubscriberClient
-from tansywood.distribution.messages import Message, Moved, Rollouts, Welcome
+from tansywood.distribution.messages import InstancesMoved, Message, Rollouts, Welcome
+from tansywood.distribution.parameters import MS, Parameters
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.server import SourceServer
 from tansywood.distribution.source import Source
 from tansywood.distribution.stream import Keys
-from tansywood.distribution.subscriber import Action, Apply, Continued, HistoryChanged, Subscriber
-from tansywood.distribution.terms import MS, Terms
+from tansywood.distribution.subscriber import (
+    Action,
+    Apply,
+    EpochContinued,
+    HistoryChanged,
+    Subscriber,
+)
 from tansywood.fleet.keyfile import KeyFile
 from tansywood.fleet.seal import KeyFileError
 from windrelay.config import Address, parse_address
@@ -51,7 +57,7 @@
     key_file: Path
     publishers: tuple[str, ...]
     counters: Path | None = None
-    terms: Terms = field(default_factory=Terms)
+    parameters: Parameters = field(default_factory=Parameters)
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +93,7 @@
         publishers: tuple[str, ...],
         keys: Keys,
         fleet: str,
-        terms: Terms,
+        parameters: Parameters,
         random: Random,
         on_ready: Callable[[], None] = lambda: None,
         log: Callable[[str], None] = lambda _text: None,
@@ -95,10 +101,12 @@
         """`on_ready` is called once, when everything is held for the first time."""
         now = time.monotonic_ns()
         self.name = name
-        self.replica = Replica(terms.window)
-        self.source = Source(self.replica, terms, now, is_publisher=False)
+        self.replica = Replica(parameters.max_resumable_changes)
+        self.source = Source(self.replica, parameters, now, is_publisher=False)
         self.server = SourceServer(self.source, keys, fleet, log=log)
-        subscriber = Subscriber(name, publishers, self.replica, terms, random, now, everything=True)
+        subscriber = Subscriber(
+            name, publishers, self.replica, parameters, random, now, everything=True
+        )
         self.client = SubscriberClient(subscriber, keys, fleet, self._handle, self._overheard)
         self._on_ready: Callable[[], None] | None = on_ready
 
@@ -144,7 +152,7 @@
             revision=self.replica.revision,
             serving=self.source.serving,
             publisher_age_ms=None if age is None else age // MS,
-            longest_standstill_ms=self.server.longest_standstill // MS,
+            longest_standstill_ms=self.server.longest_stall_ns // MS,
         )
 
     # ---- what the publisher says -----------------------------------------------------------
@@ -156,7 +164,7 @@
                 for uid in action.uids:
                     self.source.changed(uid, self.replica.resource(uid).revision, now)
             self.client.applied(action.batch)
-        elif isinstance(action, Continued):
+        elif isinstance(action, EpochContinued):
             self.source.epoch_continued(now)
         elif isinstance(action, HistoryChanged):
             self.source.stop_serving()
@@ -164,16 +172,16 @@
     def _overheard(self, message: Message) -> None:
         now = time.monotonic_ns()
         if isinstance(message, Welcome):
-            self.source.report_again()
-        elif isinstance(message, Moved):
+            self.source.reset_report()
+        elif isinstance(message, InstancesMoved):
             self.source.moved(message.names)
         age = self.client.subscriber.publisher_age(now)
         if age is not None:
-            self.source.publisher_heard(now - age)
+            self.source.note_publisher_heard(now - age)
         self.client.flush()  # changes go into the sessions' queues before they are sent from
         if self.replica.revision and not self.source.serving:
             self._begin_serving()
-        self.server.pump()
+        self.server.flush()
 
     def _begin_serving(self) -> None:
         self.replica.set_floor(self.replica.revision)
@@ -215,7 +223,7 @@
         settings.publishers,
         KeyFile(settings.key_file, log),
         settings.fleet,
-        settings.terms,
+        settings.parameters,
         Random(),
         ready,
         log,
--- a/tansywood/distribution/interest.py
+++ b/tansywood/distribution/interest.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from tansywood.distribution.terms import SECOND, Terms
+from tansywood.distribution.parameters import SECOND, Parameters
 from tansywood.tenancy.limits import Bucket
 
 IN_USE = 3 * SECOND  # what was used within this time is not given up; use is told every second
@@ -56,13 +56,13 @@
 class Interest:
     """Tenants held, questions open, aliases known to be nobody's. `counts` only grow."""
 
-    def __init__(self, terms: Terms, now: int, bound: int, idle: int) -> None:
+    def __init__(self, parameters: Parameters, now: int, bound: int, idle: int) -> None:
         """`bound` is how many tenants are held, `idle` how long one is held without use."""
         self.bound = bound
         self.idle = idle
         self.lookups_open = 0
         self.counts: Counter[str] = Counter()
-        self._terms = terms
+        self._parameters = parameters
         self._in_use = min(IN_USE, idle)
         self._held: OrderedDict[str, _Held] = OrderedDict()  # the least recently used first
         self._owner: dict[str, str] = {}
@@ -71,7 +71,7 @@
         self._open: dict[str, list[Asker]] = {}  # who waits for each alias that is looked up
         self._waiters: dict[Asker, _Waiter] = {}
         # Half of a second's worth at once: the source's own bucket then takes all of them.
-        self._bucket = Bucket(now, terms.lookups_per_s, terms.lookups_per_s / 2)
+        self._bucket = Bucket(now, parameters.lookups_per_s, parameters.lookups_per_s / 2)
         self._bucket.fill()
 
     # ---- reading ---------------------------------------------------------------------------
@@ -211,13 +211,13 @@
         return alias in self._owner or self._unknown.get(alias, now) > now
 
     def _remember_unknown(self, alias: str, now: int) -> None:
-        self._unknown[alias] = now + self._terms.unknown
+        self._unknown[alias] = now + self._parameters.unknown_alias_ttl_ns
         self._unknown.move_to_end(alias)
-        while len(self._unknown) > self._terms.unknown_most:
+        while len(self._unknown) > self._parameters.max_unknown_aliases:
             self._unknown.popitem(last=False)
 
     def _may_look_up(self, now: int) -> bool:
-        if self.lookups_open >= self._terms.questions_most or not self._has_room(now):
+        if self.lookups_open >= self._parameters.max_open_lookups or not self._has_room(now):
             return False
         return self._bucket.take(now) == 0
 
--- a/tansywood/distribution/messages.py
+++ b/tansywood/distribution/messages.py
@@ -16,8 +16,8 @@
 
 DIGEST_BYTES = 8
 EPOCH_BYTES = 16
-MAX_BODY = 1536 << 10  # bytes of one resource: a document of 1 MiB, its servers and keys
-MAX_FRAME = 2 << 20  # bytes of one message: a resource and what surrounds it
+MAX_BODY_BYTES = 1536 << 10  # bytes of one resource: a document of 1 MiB, its servers and keys
+MAX_FRAME_BYTES = 2 << 20  # bytes of one message: a resource and what surrounds it
 MAX_SUBSCRIPTIONS = 20_000  # of one instance
 
 Uid = Annotated[str, Meta(min_length=1, max_length=40)]
@@ -62,7 +62,7 @@
     uid: Uid
     revision: Count
     kind: Kind = Kind.CONTENT
-    body: Annotated[bytes, Meta(max_length=MAX_BODY)] = b""
+    body: Annotated[bytes, Meta(max_length=MAX_BODY_BYTES)] = b""
     aliases: Annotated[list[Alias], Meta(max_length=400)] = []
 
 
@@ -191,7 +191,7 @@
     whole: bool = False  # as of Changes
 
 
-class Found(Struct, array_like=True, frozen=True, tag="f"):
+class LookupResult(Struct, array_like=True, frozen=True, tag="f"):
     """The answer to a lookup, in the order of its aliases, empty where it is nobody's.
     `resources` are what was found, as far as it has room here; the rest follows as Changes.
     `revision` is the source's."""
@@ -202,14 +202,14 @@
     revision: Count
 
 
-class Moved(Struct, array_like=True, frozen=True, tag="m"):
+class InstancesMoved(Struct, array_like=True, frozen=True, tag="m"):
     """To a distributor: these instances have come to another one since."""
 
     names: Annotated[list[NodeName], Meta(max_length=4096)]
 
 
 Request = Hello | Versions | Lookup | Unsubscribe | Acknowledge | Rollouts
-Response = Welcome | Busy | Changes | Progress | Found | Moved
+Response = Welcome | Busy | Changes | Progress | LookupResult | InstancesMoved
 Message = Request | Response
 
 _encode = msgspec.msgpack.Encoder().encode
--- a/tansywood/distribution/refusals.py
+++ b/tansywood/distribution/refusals.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from tansywood.distribution.terms import SECOND
+from tansywood.distribution.parameters import SECOND
 
-LOG_EVERY = 10 * SECOND  # of one reason; whoever sends what is refused may send much of it
+LOG_INTERVAL_NS = 10 * SECOND  # of one reason; whoever sends what is refused may send much of it
 
 REMEDIES = {
     "stranger": "give both the same key file; a new key goes in as the first line everywhere, "
@@ -22,9 +22,9 @@
 }
 
 
-def described(reason: str, what: str) -> str:
+def describe_refusal(reason: str, detail: str) -> str:
     """What was refused, and what to do about it."""
-    return f"{what}: {REMEDIES[reason]}"
+    return f"{detail}: {REMEDIES[reason]}"
 
 
 class RefusalLog:
@@ -32,11 +32,11 @@
 
     def __init__(self, log: Callable[[str], None]) -> None:
         self._log = log
-        self._said: dict[str, int] = {}  # when, by reason
+        self._logged_at: dict[str, int] = {}  # when, by reason
 
-    def refused(self, reason: str, count: int, peer: str, why: str, now: int) -> None:
+    def record(self, reason: str, count: int, peer: str, detail: str, now: int) -> None:
         """`count` is how many of this reason there were so far, `peer` the last one's address."""
-        said = self._said.get(reason)
-        if said is None or now - said >= LOG_EVERY:
-            self._said[reason] = now
-            self._log(f"refused ({reason}, {count} so far), the last from {peer}: {why}")
+        logged_at = self._logged_at.get(reason)
+        if logged_at is None or now - logged_at >= LOG_INTERVAL_NS:
+            self._logged_at[reason] = now
+            self._log(f"refused ({reason}, {count} so far), the last from {peer}: {detail}")
--- a/tansywood/distribution/resources.py
+++ b/tansywood/distribution/resources.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from tansywood.distribution.messages import (
-    MAX_BODY,
+    MAX_BODY_BYTES,
     Kind,
     Resource,
     alias_of_host,
@@ -30,12 +30,13 @@
 
 
 def encode(uid: str, revision: int, view: View | None) -> Resource:
-    """The resource that says this view; removed where there is none. ViewError over MAX_BODY."""
+    """The resource that says this view; removed where there is none.
+    Raises ViewError where it is larger than MAX_BODY_BYTES."""
     if view is None:
         return Resource(uid, revision, Kind.REMOVED)
     body = msgspec.json.encode(view)
-    if len(body) > MAX_BODY:
-        raise ViewError(f"tenant {uid}: its view has {len(body)} bytes, {MAX_BODY} at most")
+    if len(body) > MAX_BODY_BYTES:
+        raise ViewError(f"tenant {uid}: its view has {len(body)} bytes, {MAX_BODY_BYTES} at most")
     return Resource(uid, revision, Kind.CONTENT, body, list(aliases_of(view)))
 
 
--- a/tansywood/distribution/server.py
+++ b/tansywood/distribution/server.py
@@ -8,18 +8,18 @@
 from collections.abc import Callable
 
 from tansywood.distribution.messages import Message
+from tansywood.distribution.parameters import MS, SECOND
 from tansywood.distribution.refusals import RefusalLog
 from tansywood.distribution.source import ProtocolError, Session, Source
 from tansywood.distribution.stream import Keys, SealedStream
-from tansywood.distribution.terms import MS, SECOND
 from windrelay.config import Address, parse_address
 
-TICK = 100 * MS
-STALLED = 200 * MS  # a tick that comes so late tells that this process stood still
-BACKLOG = 1024
-TURN_MESSAGES = 4  # that are sent to one session before all others have their turn
+TICK_INTERVAL_NS = 100 * MS
+STALL_THRESHOLD_NS = 200 * MS  # a tick that comes so late tells that this process stood still
+LISTEN_BACKLOG = 1024
+MAX_MESSAGES_PER_TURN = 4  # that are sent to one session before all others have their turn
 
-Overheard = Callable[[Session, Message], None]
+MessageHandler = Callable[[Session, Message], None]
 
 
 class SourceServer:
@@ -30,7 +30,7 @@
         source: Source,
         keys: Keys,
         fleet: str,
-        overheard: Overheard | None = None,
+        on_message: MessageHandler | None = None,
         on_close: Callable[[Session], None] | None = None,
         log: Callable[[str], None] = lambda _text: None,
     ) -> None:
@@ -38,24 +38,24 @@
         self.refused: Counter[str] = Counter()
         self._keys = keys
         self._fleet = fleet
-        self._overheard = overheard
+        self._on_message = on_message
         self._on_close = on_close
         self._log = log
-        self._refusals = RefusalLog(log)
+        self._refusal_log = RefusalLog(log)
         self._streams: dict[int, SealedStream] = {}
         self._numbers: dict[SealedStream, int] = {}
         self._server: asyncio.Server | None = None
-        self._ticking: asyncio.TimerHandle | None = None
-        self._next_turn: asyncio.Handle | None = None
+        self._tick_timer: asyncio.TimerHandle | None = None
+        self._turn_handle: asyncio.Handle | None = None
         self._tick_due = 0
         self.bytes_out = 0  # of connections that have ended
         self.bytes_in = 0
-        self.longest_standstill = 0  # nanoseconds that this process did nothing else
+        self.longest_stall_ns = 0  # nanoseconds that this process did nothing else
 
     async def start(self, address: Address) -> Address:
         """Listen; returns the address, with the port that was free where 0 was asked for."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(self._stream, *address, backlog=BACKLOG)
+        self._server = await loop.create_server(self._make_stream, *address, backlog=LISTEN_BACKLOG)
         self._tick_due = time.monotonic_ns()
         self._tick()
         host, port = self._server.sockets[0].getsockname()[:2]
@@ -67,16 +67,16 @@
         return f"{host}:{port}"
 
     def stop(self) -> None:
-        if self._ticking is not None:
-            self._ticking.cancel()
-        if self._next_turn is not None:
-            self._next_turn.cancel()
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
+        if self._turn_handle is not None:
+            self._turn_handle.cancel()
         if self._server is not None:
             self._server.close()
         for stream in list(self._streams.values()):
             stream.close("this source ends")
 
-    def pump(self) -> None:
+    def flush(self) -> None:
         """Send what is ready; call it after anything was told to the source."""
         for number in list(self.source.ready):
             self._send_ready(number)
@@ -103,9 +103,9 @@
         except ProtocolError as err:
             stream.refuse("protocol", str(err))
             return
-        if self._overheard is not None:
-            self._overheard(self.source.sessions[number], message)
-        self._take_another_turn()  # once for all messages that came in one read
+        if self._on_message is not None:
+            self._on_message(self.source.sessions[number], message)
+        self._schedule_turn()  # once for all messages that came in one read
 
     def writable(self, stream: SealedStream) -> None:
         number = self._numbers.get(stream)
@@ -116,7 +116,7 @@
         if stream.refusal:
             count = self.refused[stream.refusal]
             now = time.monotonic_ns()
-            self._refusals.refused(stream.refusal, count, stream.peer, why, now)
+            self._refusal_log.record(stream.refusal, count, stream.peer, why, now)
         number = self._numbers.pop(stream, None)
         if number is None:
             return
@@ -132,7 +132,7 @@
 
     # ---- the parts -------------------------------------------------------------------------
 
-    def _stream(self) -> SealedStream:
+    def _make_stream(self) -> SealedStream:
         return SealedStream(self, self._keys, self._fleet, False, self.refused)
 
     def _send_ready(self, number: int) -> None:
@@ -143,36 +143,38 @@
             self.source.ready.discard(number)
             return
         now = time.monotonic_ns()
-        for _ in range(TURN_MESSAGES):
+        for _ in range(MAX_MESSAGES_PER_TURN):
             if stream.paused:
                 return
             message = self.source.next_message(number, now)
             if message is None:
-                if self.source.sessions[number].ends:
+                if self.source.sessions[number].closing:
                     stream.close("ended by this source")
                 return
             stream.send(message)
-        self._take_another_turn()
+        self._schedule_turn()
 
-    def _take_another_turn(self) -> None:
+    def _schedule_turn(self) -> None:
         """Go on behind what the loop has to do meanwhile."""
-        if self._next_turn is None:
-            self._next_turn = asyncio.get_running_loop().call_soon(self._turn)
+        if self._turn_handle is None:
+            self._turn_handle = asyncio.get_running_loop().call_soon(self._run_turn)
 
-    def _turn(self) -> None:
-        self._next_turn = None
-        self.pump()
+    def _run_turn(self) -> None:
+        self._turn_handle = None
+        self.flush()
 
     def _tick(self) -> None:
         """Time in which this process stood still, and so read nothing, is nobody's silence."""
         now = time.monotonic_ns()
         late = now - self._tick_due
-        self.longest_standstill = max(self.longest_standstill, late)
-        if late > STALLED:
+        self.longest_stall_ns = max(self.longest_stall_ns, late)
+        if late > STALL_THRESHOLD_NS:
             for session in self.source.sessions.values():
-                session.heard = min(session.heard + late, now)
-        self._tick_due = now + TICK
-        self._ticking = asyncio.get_running_loop().call_later(TICK / SECOND, self._tick)
+                session.last_received = min(session.last_received + late, now)
+        self._tick_due = now + TICK_INTERVAL_NS
+        self._tick_timer = asyncio.get_running_loop().call_later(
+            TICK_INTERVAL_NS / SECOND, self._tick
+        )
         for number in self.source.tick(now):
             self._streams[number].abort("silent")
-        self.pump()
+        self.flush()
--- a/tansywood/distribution/source.py
+++ b/tansywood/distribution/source.py
@@ -21,12 +21,12 @@
     Busy,
     Changes,
     Epoch,
-    Found,
     Hello,
+    InstancesMoved,
     Kind,
     Lookup,
+    LookupResult,
     Message,
-    Moved,
     Position,
     Progress,
     Refusal,
@@ -37,24 +37,26 @@
     Versions,
     Welcome,
 )
+from tansywood.distribution.parameters import MS, SECOND, Parameters
 from tansywood.distribution.replica import Replica
-from tansywood.distribution.terms import MS, SECOND, Terms
 from tansywood.tenancy.limits import Bucket
 
-BATCH_MOST = 1_024  # resources in one message
-NAMED = 5  # instances that are named of those that lag or refuse
-NOT_READY_MS = 500
-TOO_MANY = "too many at once"
-STALE = "this source has not heard the publisher lately"
-BEHIND_ITS_EPOCH = "this source has not come up to the beginning of its epoch"
-OUTDATED_MS = 1_000
-COME_BACK_MOST = 5 * SECOND  # that one who is turned away is told to wait
-FETCH_AGAIN_MS = 500
-REFUSALS_MOST = 1_024  # kept of one session
-MOVED_MOST = 4_096  # names in one message
-CONTROL_MOST = 1_024  # answers that wait for one subscriber; more questions are not answered
-RECENT = 256  # changes whose rollout is followed
-RECENT_FOR = 60 * SECOND
+MAX_BATCH_RESOURCES = 1_024  # resources in one message
+MAX_NAMED_INSTANCES = 5  # instances that are named of those that lag or refuse
+NOT_READY_RETRY_MS = 500
+TOO_MANY_REASON = "too many at once"
+STALE_REASON = "this source has not heard the publisher lately"
+BEHIND_EPOCH_REASON = "this source has not come up to the beginning of its epoch"
+OUTDATED_RETRY_MS = 1_000
+MAX_RETRY_AFTER_NS = 5 * SECOND  # that one who is turned away is told to wait
+FULL_COMPARISON_RETRY_MS = 500
+MAX_SESSION_REFUSALS = 1_024  # kept of one session
+MAX_MOVED_NAMES = 4_096  # names in one message
+MAX_CONTROL_MESSAGES = (
+    1_024  # answers that wait for one subscriber; more questions are not answered
+)
+MAX_TRACKED_CHANGES = 256  # changes whose rollout is followed
+TRACKED_CHANGE_RETENTION_NS = 60 * SECOND
 
 
 class ProtocolError(ValueError):
@@ -70,12 +72,12 @@
 
 
 @dataclass(slots=True)
-class _Recent:
+class _RecentChange:
     """A change whose rollout is followed; `dropped` counts who has put a removal into force."""
 
     revision: int
-    at: int  # time
-    dropped: int = 0
+    changed_at: int  # time
+    removed_count: int = 0
 
 
 @dataclass(slots=True)
@@ -83,72 +85,78 @@
     """One subscriber's connection."""
 
     number: int
-    heard: int  # time
-    told_age: int  # time of the last heartbeat
+    last_received: int  # time
+    last_heartbeat: int  # time of the last heartbeat
     name: str = ""
     everything: bool = False
     welcomed: bool = False
-    comparisons: int = 0  # lists of versions that are awaited; the last one counts
+    open_comparisons: int = 0  # lists of versions that are awaited; the last one counts
     catching_up: bool = False  # what a comparison found has not all been sent
-    ahead: int = 0  # the newest revision of this epoch that it may hold anything of
+    newest_held: int = 0  # the newest revision of this epoch that it may hold anything of
     progress: int = 0  # all up to there has been sent
     applied: int = 0  # all up to there is in force there
     subscriptions: set[str] = field(default_factory=set)
-    compared: set[str] = field(default_factory=set)
+    compared_uids: set[str] = field(default_factory=set)
     backlog: list[str] = field(default_factory=list)  # sent before `pending`, from its end
     pending: OrderedDict[str, _Pending] = field(default_factory=OrderedDict)
     refusals: OrderedDict[str, Refusal] = field(default_factory=OrderedDict)
-    found: dict[str, int] = field(default_factory=dict)  # by which lookup; not in force there yet
+    unapplied_lookups: dict[str, int] = field(
+        default_factory=dict
+    )  # by which lookup; not in force there yet
     control: deque[Message] = field(default_factory=deque)
-    lookups: Bucket | None = None
+    lookup_bucket: Bucket | None = None
     moved: bool = False  # its instance has come to another distributor since
-    ends: bool = False  # closed once what it has to be told is sent
+    closing: bool = False  # closed once what it has to be told is sent
 
     @property
     def comparing(self) -> bool:
-        return self.comparisons > 0
+        return self.open_comparisons > 0
 
     @property
-    def waits(self) -> bool:
+    def has_unsent(self) -> bool:
         """Whether there is something to be sent of what it subscribes to."""
         return bool(self.backlog or self.pending)
 
-    def has(self, uid: str, revision: int) -> bool:
+    def has_applied(self, uid: str, revision: int) -> bool:
         """Whether a change is in force there."""
-        return not self.lacks(uid, revision) and not self.refuses(uid, revision)
+        return not self.is_waiting_for(uid, revision) and not self.has_refused(uid, revision)
 
-    def lacks(self, uid: str, revision: int) -> bool:
+    def is_waiting_for(self, uid: str, revision: int) -> bool:
         """Whether it has neither put a change into force nor refused it, as far as is known."""
-        return (self.applied < revision or uid in self.found) and not self.refuses(uid, revision)
+        return (self.applied < revision or uid in self.unapplied_lookups) and not self.has_refused(
+            uid, revision
+        )
 
-    def refuses(self, uid: str, revision: int) -> bool:
+    def has_refused(self, uid: str, revision: int) -> bool:
         refusal = self.refusals.get(uid)
         return refusal is not None and refusal.revision >= revision
 
 
 @dataclass(frozen=True, slots=True)
-class _Away:
+class _DepartedInstance:
     """An instance whose connection ended and that has not been heard of since."""
 
-    until: int
+    forget_at: int
     applied: int
     subscriptions: frozenset[str]
 
-    def lacks(self, uid: str, revision: int) -> bool:
+    def is_waiting_for(self, uid: str, revision: int) -> bool:
         return self.applied < revision and uid in self.subscriptions
 
 
 class Source:
     """Sessions over one replica; counters only grow."""
 
-    def __init__(self, replica: Replica, terms: Terms, now: int, is_publisher: bool) -> None:
+    def __init__(
+        self, replica: Replica, parameters: Parameters, now: int, is_publisher: bool
+    ) -> None:
         self.replica = replica
-        self.terms = terms
+        self.parameters = parameters
         self.is_publisher = is_publisher
         self.serving = is_publisher
         self.sessions: dict[int, Session] = {}
         self.ready: set[int] = set()  # sessions that have something to be sent
-        self.heard_publisher = now
+        self.publisher_heard_at = now
         self.outdated_by: Position | None = None  # a subscriber knew a later history than ours
         self.joined: list[str] = []  # instances since the last report upwards
         self.messages_out = 0
@@ -156,15 +164,15 @@
         self._subscribers: dict[str, set[int]] = {}
         self._everything: set[int] = set()
         self._by_name: dict[str, int] = {}
-        self._away: dict[str, _Away] = {}
-        self._recent: OrderedDict[str, _Recent] = OrderedDict()  # the last change of each uid
+        self._departed: dict[str, _DepartedInstance] = {}
+        self._recent: OrderedDict[str, _RecentChange] = OrderedDict()  # the last change of each uid
         self._recent_epoch = replica.epoch
-        self._unsettled: dict[str, None] = {}  # recent ones whose sums may have changed
+        self._unreported: dict[str, None] = {}  # recent ones whose sums may have changed
         self._reported: dict[str, Rollout] = {}
-        self._reported_to = 0  # the revision
-        self._admission = Bucket(now, terms.admit_per_s, terms.admit_burst)
+        self._reported_revision = 0  # the revision
+        self._admission = Bucket(now, parameters.admissions_per_s, parameters.admission_burst)
         self._admission.fill()
-        self._promised = now  # when the last one that was turned away was told to come back
+        self._last_retry_at = now  # when the last one that was turned away was told to come back
         self._next_number = 1
 
     # ---- what happens ----------------------------------------------------------------------
@@ -173,7 +181,7 @@
         """A connection, by the number that names its session from now on."""
         number = self._next_number
         self._next_number += 1
-        self.sessions[number] = Session(number, heard=now, told_age=now)
+        self.sessions[number] = Session(number, last_received=now, last_heartbeat=now)
         return number
 
     def closed(self, number: int, now: int) -> None:
@@ -188,49 +196,51 @@
         if self._by_name.get(session.name) == number:
             del self._by_name[session.name]
             if not session.everything and not session.moved:
-                held = frozenset(session.subscriptions)
-                until = now + self.terms.away
-                self._away[session.name] = _Away(until, session.applied, held)
+                subscriptions = frozenset(session.subscriptions)
+                forget_at = now + self.parameters.departed_retention_ns
+                self._departed[session.name] = _DepartedInstance(
+                    forget_at, session.applied, subscriptions
+                )
 
     def received(self, number: int, now: int, message: Message) -> None:
         """ProtocolError where the subscriber may not say this."""
         session = self.sessions[number]
-        session.heard = now
+        session.last_received = now
         if session.moved:
             # It is here after all. The publisher was told otherwise, perhaps of a connection
             # elsewhere that was dead and not noticed: it hears so again, and tells the other one.
             self._set_moved(session, False)
             self.joined.append(session.name)
         self.messages_in += 1
-        if session.ends:
+        if session.closing:
             return
         if isinstance(message, Hello):
-            self._hello(session, now, message)
+            self._on_hello(session, now, message)
         elif not session.welcomed:
             raise ProtocolError(f"{type(message).__name__} before a welcome")
         elif isinstance(message, Acknowledge):
-            self._acknowledged(session, message)
+            self._record_acknowledgement(session, message)
         elif isinstance(message, Lookup):
-            self._looked_up(session, now, message)
+            self._answer_lookup(session, now, message)
         elif isinstance(message, Unsubscribe):
-            self._given_up(session, message)
+            self._drop_subscriptions(session, message)
         elif isinstance(message, Versions):
-            self._compare(session, message)
+            self._on_versions(session, message)
         elif not isinstance(message, Rollouts):  # those are the publisher's own to sum up
             raise ProtocolError(f"{type(message).__name__} is not for a source")
 
     def changed(self, uid: str, revision: int, now: int) -> None:
         """A resource of the replica is another; revisions only grow."""
-        self._follow(uid, revision, now)
+        self._track_change(uid, revision, now)
         for number in (*self._subscribers.get(uid, ()), *self._everything):
             session = self.sessions[number]
             session.pending.pop(uid, None)  # it goes to the end: see the module's text
             session.pending[uid] = _Pending(revision)
             self.ready.add(number)
 
-    def publisher_heard(self, at: int) -> None:
+    def note_publisher_heard(self, heard_at: int) -> None:
         """When the publisher, or a source next to it, was heard last."""
-        self.heard_publisher = max(self.heard_publisher, at)
+        self.publisher_heard_at = max(self.publisher_heard_at, heard_at)
 
     def epoch_continued(self, now: int) -> None:
         """The replica went over to an epoch that continues its own history.
@@ -241,11 +251,11 @@
         self._recent_epoch = self.replica.epoch
         parent = self.replica.parent.revision
         for session in self.sessions.values():
-            if not session.welcomed or session.ends:
+            if not session.welcomed or session.closing:
                 continue
-            compare = session.comparing or max(session.ahead, session.progress) > parent
+            compare = session.comparing or max(session.newest_held, session.progress) > parent
             if compare and self.replica.whole < parent:
-                self._end(session, Busy(NOT_READY_MS, BEHIND_ITS_EPOCH))
+                self._end_session(session, Busy(NOT_READY_RETRY_MS, BEHIND_EPOCH_REASON))
                 continue
             if compare:
                 self._begin_comparison(session)
@@ -257,12 +267,16 @@
         if self._recent_epoch != self.replica.epoch:
             self._recent_epoch = self.replica.epoch
             self._recent.clear()
-            self._unsettled.clear()
+            self._unreported.clear()
             self._reported.clear()
-            self._away = {name: replace(away, applied=0) for name, away in self._away.items()}
+            self._departed = {
+                name: replace(departed, applied=0) for name, departed in self._departed.items()
+            }
         for session in self.sessions.values():
             session.applied = 0
-            self._end(session, Busy(NOT_READY_MS, "this source compares what it holds first"))
+            self._end_session(
+                session, Busy(NOT_READY_RETRY_MS, "this source compares what it holds first")
+            )
 
     def moved(self, names: Iterable[str]) -> None:
         """These instances have come to another distributor: they are not waited for here.
@@ -271,9 +285,9 @@
         is heard on it: then its instance has come back.
         """
         for name in names:
-            away = self._away.pop(name, None)
-            for uid in away.subscriptions if away is not None else ():
-                self._sums_change(uid)
+            departed = self._departed.pop(name, None)
+            for uid in departed.subscriptions if departed is not None else ():
+                self._mark_unreported(uid)
             number = self._by_name.get(name)
             if number is not None:
                 self._set_moved(self.sessions[number], True)
@@ -282,38 +296,45 @@
         if session.moved != moved:
             session.moved = moved
             for uid in session.subscriptions:
-                self._sums_change(uid)
+                self._mark_unreported(uid)
 
-    def report_again(self) -> None:
+    def reset_report(self) -> None:
         """The source above knows nothing of before: the next report says all that is known."""
         self._reported.clear()
-        self._reported_to = 0
-        self._unsettled = dict.fromkeys(self._recent)
+        self._reported_revision = 0
+        self._unreported = dict.fromkeys(self._recent)
         self.joined = [
             session.name
             for session in self.sessions.values()
-            if session.welcomed and not session.ends and not session.everything
+            if session.welcomed and not session.closing and not session.everything
         ]
 
-    def tell_moved(self, distributor: str, names: list[str]) -> None:
+    def send_moved(self, distributor: str, names: list[str]) -> None:
         """Tell a distributor so."""
         number = self._by_name.get(distributor)
         if number is None:
             return
-        for start in range(0, len(names), MOVED_MOST):
-            self.sessions[number].control.append(Moved(names[start : start + MOVED_MOST]))
+        for start in range(0, len(names), MAX_MOVED_NAMES):
+            self.sessions[number].control.append(
+                InstancesMoved(names[start : start + MAX_MOVED_NAMES])
+            )
             self.ready.add(number)
 
     def tick(self, now: int) -> list[int]:
         """Heartbeats that are due become ready. Returns sessions to be closed for silence."""
         silent = []
         for number, session in self.sessions.items():
-            if now - session.heard >= self.terms.silence:
+            if now - session.last_received >= self.parameters.silence_timeout_ns:
                 silent.append(number)
-            elif session.welcomed and now - session.told_age >= self.terms.heartbeat:
+            elif (
+                session.welcomed
+                and now - session.last_heartbeat >= self.parameters.heartbeat_interval_ns
+            ):
                 self.ready.add(number)
-        for name in [name for name, away in self._away.items() if away.until <= now]:
-            del self._away[name]
+        for name in [
+            name for name, departed in self._departed.items() if departed.forget_at <= now
+        ]:
+            del self._departed[name]
         return silent
 
     # ---- what is to be sent ----------------------------------------------------------------
@@ -321,52 +342,58 @@
     def next_message(self, number: int, now: int) -> Message | None:
         """The next one of a session; None where it has nothing to be told now."""
         session = self.sessions[number]
-        message = self._next(session, now)
+        message = self._choose_message(session, now)
         if message is None:
             self.ready.discard(number)
             return None
         self.messages_out += 1
         return message
 
-    def _next(self, session: Session, now: int) -> Message | None:
+    def _choose_message(self, session: Session, now: int) -> Message | None:
         if session.control:
             return session.control.popleft()
-        if not session.welcomed or session.ends:
+        if not session.welcomed or session.closing:
             return None
-        if now - session.told_age >= self.terms.heartbeat:
+        if now - session.last_heartbeat >= self.parameters.heartbeat_interval_ns:
             return self._progress(session, now)
-        if session.waits and not session.comparing:
-            return self._batch(session)
+        if session.has_unsent and not session.comparing:
+            return self._next_batch(session)
         return None
 
     def _progress(self, session: Session, now: int) -> Progress:
         """Due each heartbeat, whatever else is said: only this tells the publisher's age."""
-        session.told_age = now
-        whole = not session.comparing and not session.waits
+        session.last_heartbeat = now
+        whole = not session.comparing and not session.has_unsent
         if whole:
             session.catching_up = False
             session.progress = self.replica.revision
-        return Progress(session.progress, self._age_ms(now), whole)
+        return Progress(session.progress, self._publisher_age_ms(now), whole)
 
-    def _batch(self, session: Session) -> Changes:
+    def _next_batch(self, session: Session) -> Changes:
         resources: list[Resource] = []
         size = 0
-        while session.waits and len(resources) < BATCH_MOST and size < self.terms.batch_bytes:
-            resource = self._take_first(session)
+        while (
+            session.has_unsent
+            and len(resources) < MAX_BATCH_RESOURCES
+            and size < self.parameters.max_batch_bytes
+        ):
+            resource = self._pop_next_resource(session)
             if resource is None:
                 break
             size += len(resource.body) + sum(map(len, resource.aliases))
             resources.append(resource)
-        session.ahead = max([session.ahead, *(resource.revision for resource in resources)])
-        if not session.waits:
+        session.newest_held = max(
+            [session.newest_held, *(resource.revision for resource in resources)]
+        )
+        if not session.has_unsent:
             session.catching_up = False
             session.progress = self.replica.revision
         elif not session.catching_up:
-            waits = next(iter(session.pending.values())).revision
-            session.progress = max(session.progress, min(waits - 1, self.replica.revision))
-        return Changes(resources, session.progress, not session.waits)
+            first_unsent = next(iter(session.pending.values())).revision
+            session.progress = max(session.progress, min(first_unsent - 1, self.replica.revision))
+        return Changes(resources, session.progress, not session.has_unsent)
 
-    def _take_first(self, session: Session) -> Resource | None:
+    def _pop_next_resource(self, session: Session) -> Resource | None:
         while session.backlog:
             uid = session.backlog.pop()
             if uid in self.replica.entries and uid not in session.pending:
@@ -374,9 +401,9 @@
         if not session.pending:
             return None
         uid, pending = session.pending.popitem(last=False)
-        return self._resource(session, uid, pending)
+        return self._pending_resource(session, uid, pending)
 
-    def _resource(self, session: Session, uid: str, pending: _Pending) -> Resource:
+    def _pending_resource(self, session: Session, uid: str, pending: _Pending) -> Resource:
         if pending.unchanged:
             return Resource(uid, pending.revision, Kind.UNCHANGED)
         resource = self.replica.resource(uid, with_aliases=session.everything)
@@ -384,55 +411,65 @@
             return Resource(uid, pending.revision, Kind.REMOVED)
         return resource
 
-    def _age_ms(self, now: int) -> int:
-        return 0 if self.is_publisher else max(now - self.heard_publisher, 0) // MS
+    def _publisher_age_ms(self, now: int) -> int:
+        return 0 if self.is_publisher else max(now - self.publisher_heard_at, 0) // MS
 
     # ---- a subscriber's messages -----------------------------------------------------------
 
-    def _hello(self, session: Session, now: int, hello: Hello) -> None:
+    def _on_hello(self, session: Session, now: int, hello: Hello) -> None:
         if session.welcomed:
             raise ProtocolError("a second hello")
-        theirs = hello.position.epoch
-        if theirs > self.replica.epoch and self.serving:
+        subscriber_epoch = hello.position.epoch
+        if subscriber_epoch > self.replica.epoch and self.serving:
             self.outdated_by = hello.position
-            self._end(session, Busy(OUTDATED_MS, "its history is later than this source's"))
+            self._end_session(
+                session, Busy(OUTDATED_RETRY_MS, "its history is later than this source's")
+            )
             return
         if not self.serving:
-            self._end(session, Busy(NOT_READY_MS, "this source is not ready"))
+            self._end_session(session, Busy(NOT_READY_RETRY_MS, "this source is not ready"))
             return
-        if hello.only_fresh and self._age_ms(now) * MS >= self.terms.stale:
-            self._end(session, Busy(0, STALE))
+        if hello.only_fresh and self._publisher_age_ms(now) * MS >= self.parameters.stale_after_ns:
+            self._end_session(session, Busy(0, STALE_REASON))
             return
-        position = self._resume_from(hello)
+        position = self._resume_position(hello)
         compare = not self.replica.covers(position, hello.newest)
-        holds = theirs != Epoch() or bool(hello.subscriptions)
+        holds = subscriber_epoch != Epoch() or bool(hello.subscriptions)
         if compare and holds and self.replica.whole < self.replica.parent.revision:
-            self._end(session, Busy(NOT_READY_MS, BEHIND_ITS_EPOCH))
+            self._end_session(session, Busy(NOT_READY_RETRY_MS, BEHIND_EPOCH_REASON))
             return
-        if compare and hello.everything and self._fetching() >= self.terms.fetches:
-            self._end(session, Busy(FETCH_AGAIN_MS, "others fetch everything now"))
+        if (
+            compare
+            and hello.everything
+            and self._full_comparison_count() >= self.parameters.max_full_comparisons
+        ):
+            self._end_session(
+                session, Busy(FULL_COMPARISON_RETRY_MS, "others fetch everything now")
+            )
             return
         wait = self._admission.take(now)
         if wait:
-            self._end(session, Busy(self._come_back_ms(now, wait), TOO_MANY))
+            self._end_session(session, Busy(self._retry_after_ms(now, wait), TOO_MANY_REASON))
             return
         self._admit(session, now, hello, compare)
         if not compare:
             self._resume(session, position.revision)
 
-    def _resume_from(self, hello: Hello) -> Position:
+    def _resume_position(self, hello: Hello) -> Position:
         position = hello.position
         if position.epoch == self.replica.epoch:
             return position
         return Position(position.epoch, min(position.revision, hello.whole))
 
-    def _come_back_ms(self, now: int, wait: int) -> int:
+    def _retry_after_ms(self, now: int, wait: int) -> int:
         """Those who are turned away are told times one after the other, at the admitted rate."""
-        self._promised = max(self._promised + round(SECOND / self.terms.admit_per_s), now + wait)
-        self._promised = min(self._promised, now + COME_BACK_MOST)
-        return (self._promised - now) // MS + 1
+        self._last_retry_at = max(
+            self._last_retry_at + round(SECOND / self.parameters.admissions_per_s), now + wait
+        )
+        self._last_retry_at = min(self._last_retry_at, now + MAX_RETRY_AFTER_NS)
+        return (self._last_retry_at - now) // MS + 1
 
-    def _fetching(self) -> int:
+    def _full_comparison_count(self) -> int:
         """How many subscribers of everything compare, or are sent what differs."""
         sessions = [self.sessions[number] for number in self._everything]
         return sum(session.comparing or session.catching_up for session in sessions)
@@ -441,11 +478,13 @@
         session.name = hello.name
         session.everything = hello.everything
         session.welcomed = True
-        session.lookups = Bucket(now, self.terms.lookups_per_s, self.terms.lookups_per_s)
-        session.lookups.fill()
-        self._replace(hello.name)
+        session.lookup_bucket = Bucket(
+            now, self.parameters.lookups_per_s, self.parameters.lookups_per_s
+        )
+        session.lookup_bucket.fill()
+        self._end_previous_session(hello.name)
         self._by_name[hello.name] = session.number
-        self._away.pop(hello.name, None)
+        self._departed.pop(hello.name, None)
         if hello.everything:
             self._everything.add(session.number)
         else:
@@ -455,10 +494,10 @@
         if compare:
             self._begin_comparison(session)
         if not compare or hello.position.epoch == self.replica.epoch:
-            session.ahead = max(hello.position.revision, hello.newest)
+            session.newest_held = max(hello.position.revision, hello.newest)
         self._welcome(session, now, compare)
 
-    def _replace(self, name: str) -> None:
+    def _end_previous_session(self, name: str) -> None:
         """A session of this name is there already: its connection is dead, or its name is used
         twice."""
         number = self._by_name.get(name)
@@ -469,58 +508,58 @@
             self._drop_subscription(before, uid)
         before.backlog.clear()
         before.pending.clear()
-        before.ends = True
+        before.closing = True
         self._everything.discard(number)
         self.ready.add(number)
 
     def _welcome(self, session: Session, now: int, compare: bool) -> None:
         replica = self.replica
-        age = self._age_ms(now)
+        age = self._publisher_age_ms(now)
         session.control.append(Welcome(replica.position, compare, age, replica.parent))
         self.ready.add(session.number)
 
     def _begin_comparison(self, session: Session) -> None:
-        session.comparisons += 1
-        session.compared.clear()
-        session.ahead = 0
+        session.open_comparisons += 1
+        session.compared_uids.clear()
+        session.newest_held = 0
         session.progress = 0
         session.applied = 0
 
     def _resume(self, session: Session, revision: int) -> None:
         session.progress = min(revision, self.replica.revision)
         if session.everything:
-            behind = self.replica.changes_behind(revision)
+            missed = self.replica.changes_behind(revision)
         else:
-            behind = self._subscribed_behind(session, revision)
-        for changed, uid in behind:
+            missed = self._subscribed_changes_after(session, revision)
+        for changed, uid in missed:
             session.pending[uid] = _Pending(changed)
 
-    def _subscribed_behind(self, session: Session, revision: int) -> list[tuple[int, str]]:
+    def _subscribed_changes_after(self, session: Session, revision: int) -> list[tuple[int, str]]:
         """What has changed of some subscriptions, in the order of the last changes. An instance
         has far fewer of them than there are recent changes, and many come back at once."""
-        known = ((self._last_change(uid), uid) for uid in session.subscriptions)
+        known = ((self._last_change_revision(uid), uid) for uid in session.subscriptions)
         return sorted(change for change in known if change[0] > revision)
 
-    def _last_change(self, uid: str) -> int:
+    def _last_change_revision(self, uid: str) -> int:
         entry = self.replica.entries.get(uid)
         if entry is not None:
             return entry.revision
         # A removal that is known may be that of an earlier one: where we were whole it was not.
         return max(self.replica.resource(uid).revision, self.replica.whole)
 
-    def _compare(self, session: Session, versions: Versions) -> None:
+    def _on_versions(self, session: Session, versions: Versions) -> None:
         if not session.comparing:
             raise ProtocolError("versions that nobody asked for")
-        if session.comparisons > 1:  # it did not know of the last welcome yet
-            session.comparisons -= versions.last
+        if session.open_comparisons > 1:  # it did not know of the last welcome yet
+            session.open_comparisons -= versions.last
             return
         for row in versions.rows:
-            session.compared.add(row.uid)
+            session.compared_uids.add(row.uid)
             if not session.everything:
                 self._subscribe(session, row.uid)
             entry = self.replica.entries.get(row.uid)
             if entry is None:
-                session.pending[row.uid] = _Pending(self._last_change(row.uid))
+                session.pending[row.uid] = _Pending(self._last_change_revision(row.uid))
             else:
                 same = entry.digest == row.digest
                 session.pending[row.uid] = _Pending(entry.revision, unchanged=same)
@@ -533,16 +572,16 @@
         Until all of it is sent no progress is claimed: what was compared has no place among the
         recent changes, so a reconnect in between has to compare again.
         """
-        if session.everything and not session.compared:
+        if session.everything and not session.compared_uids:
             self._begin_backlog(session)
         elif session.everything:
             for uid, entry in self.replica.entries.items():
-                if uid not in session.compared:
+                if uid not in session.compared_uids:
                     session.pending[uid] = _Pending(entry.revision)
         in_order = sorted(session.pending.items(), key=lambda item: item[1].revision)
         session.pending = OrderedDict(in_order)
-        session.compared.clear()
-        session.comparisons = 0
+        session.compared_uids.clear()
+        session.open_comparisons = 0
         session.catching_up = True
         self.ready.add(session.number)
 
@@ -555,9 +594,9 @@
         missing.sort(key=lambda uid: entries[uid].revision, reverse=True)
         session.backlog = missing
 
-    def _looked_up(self, session: Session, now: int, lookup: Lookup) -> None:
-        assert session.lookups is not None
-        if session.lookups.take(now) or len(session.control) >= CONTROL_MOST:
+    def _answer_lookup(self, session: Session, now: int, lookup: Lookup) -> None:
+        assert session.lookup_bucket is not None
+        if session.lookup_bucket.take(now) or len(session.control) >= MAX_CONTROL_MESSAGES:
             return  # it asks more often than its terms say; its own time limit answers it
         uids = [self.replica.owner(alias) for alias in lookup.aliases]
         first: list[Resource] = []
@@ -565,50 +604,50 @@
         size = 0
         for uid in dict.fromkeys(uid for uid in uids if uid):
             if uid not in session.subscriptions:
-                session.found[uid] = lookup.question
+                session.unapplied_lookups[uid] = lookup.question
             self._subscribe(session, uid)
             resource = self.replica.resource(uid)
-            session.ahead = max(session.ahead, resource.revision)
+            session.newest_held = max(session.newest_held, resource.revision)
             size += len(resource.body)
-            fits = not first or size <= self.terms.batch_bytes
+            fits = not first or size <= self.parameters.max_batch_bytes
             (first if fits else rest).append(resource)
-        session.control.append(Found(lookup.question, uids, first, self.replica.revision))
+        session.control.append(LookupResult(lookup.question, uids, first, self.replica.revision))
         for resource in rest:
             session.control.append(Changes([resource], 0))
         self.ready.add(session.number)
 
-    def _given_up(self, session: Session, unsubscribe: Unsubscribe) -> None:
+    def _drop_subscriptions(self, session: Session, unsubscribe: Unsubscribe) -> None:
         for uid in unsubscribe.uids:
             recent = self._recent.get(uid)
             if recent is not None and uid in session.subscriptions:
-                recent.dropped += uid not in self.replica.entries
+                recent.removed_count += uid not in self.replica.entries
             self._drop_subscription(session, uid)
 
-    def _acknowledged(self, session: Session, acknowledge: Acknowledge) -> None:
+    def _record_acknowledgement(self, session: Session, acknowledge: Acknowledge) -> None:
         if session.comparing:
             return  # said of the epoch before
         session.applied = acknowledge.revision
-        for uid, question in list(session.found.items()):
+        for uid, question in list(session.unapplied_lookups.items()):
             if acknowledge.answered is None or question <= acknowledge.answered:
-                del session.found[uid]
-                self._sums_change(uid)
+                del session.unapplied_lookups[uid]
+                self._mark_unreported(uid)
         for refusal in acknowledge.refusals:
             session.refusals[refusal.uid] = refusal
             session.refusals.move_to_end(refusal.uid)
-            self._sums_change(refusal.uid)
-        while len(session.refusals) > REFUSALS_MOST:
+            self._mark_unreported(refusal.uid)
+        while len(session.refusals) > MAX_SESSION_REFUSALS:
             session.refusals.popitem(last=False)
 
     def _subscribe(self, session: Session, uid: str) -> None:
         session.subscriptions.add(uid)
         self._subscribers.setdefault(uid, set()).add(session.number)
-        self._sums_change(uid)
+        self._mark_unreported(uid)
 
     def _drop_subscription(self, session: Session, uid: str) -> None:
         session.subscriptions.discard(uid)
         session.pending.pop(uid, None)
         session.refusals.pop(uid, None)
-        session.found.pop(uid, None)
+        session.unapplied_lookups.pop(uid, None)
         self._unsubscribe(session, uid)
 
     def _unsubscribe(self, session: Session, uid: str) -> None:
@@ -617,11 +656,11 @@
             numbers.discard(session.number)
             if not numbers:
                 del self._subscribers[uid]
-        self._sums_change(uid)
+        self._mark_unreported(uid)
 
-    def _end(self, session: Session, last: Busy) -> None:
+    def _end_session(self, session: Session, last: Busy) -> None:
         session.control.append(last)
-        session.ends = True
+        session.closing = True
         self.ready.add(session.number)
 
     # ---- how far changes have come ---------------------------------------------------------
@@ -630,47 +669,56 @@
         """How far a change has come among the instances here."""
         subscribed = (self.sessions[n] for n in sorted(self._subscribers.get(uid, ())))
         sessions = [session for session in subscribed if not session.moved]
-        refusing = [s for s in sessions if s.refuses(uid, revision)]
-        lagging = [s.name for s in sessions if s.lacks(uid, revision)]
-        lagging += [name for name, away in self._away.items() if away.lacks(uid, revision)]
-        reasons = [(s.name, s.refusals[uid].reason) for s in refusing[:NAMED]]
-        have = sum(s.has(uid, revision) for s in sessions)
+        refusing = [s for s in sessions if s.has_refused(uid, revision)]
+        lagging = [s.name for s in sessions if s.is_waiting_for(uid, revision)]
+        lagging += [
+            name
+            for name, departed in self._departed.items()
+            if departed.is_waiting_for(uid, revision)
+        ]
+        reasons = [(s.name, s.refusals[uid].reason) for s in refusing[:MAX_NAMED_INSTANCES]]
+        have = sum(s.has_applied(uid, revision) for s in sessions)
         recent = self._recent.get(uid)
         if recent is not None and recent.revision == revision:
-            have += recent.dropped
-        return Rollout(uid, revision, have, len(lagging), len(refusing), lagging[:NAMED], reasons)
+            have += recent.removed_count
+        return Rollout(
+            uid, revision, have, len(lagging), len(refusing), lagging[:MAX_NAMED_INSTANCES], reasons
+        )
 
     def report(self, now: int) -> Rollouts | None:
         """What is news of the rollouts of recent changes, for the source above."""
-        while self._recent and now - next(iter(self._recent.values())).at > RECENT_FOR:
-            self._follow_no_longer()
+        while (
+            self._recent
+            and now - next(iter(self._recent.values())).changed_at > TRACKED_CHANGE_RETENTION_NS
+        ):
+            self._untrack_oldest_change()
         rows = []
-        for uid in list(self._unsettled):
+        for uid in list(self._unreported):
             row = self.rollout(uid, self._recent[uid].revision)
             if self._reported.get(uid) != row:
                 rows.append(row)
                 self._reported[uid] = row
             if not (row.waiting or row.refused):
-                del self._unsettled[uid]
+                del self._unreported[uid]
         joined, self.joined = list(dict.fromkeys(self.joined)), []
-        if not rows and not joined and self._reported_to == self.replica.revision:
+        if not rows and not joined and self._reported_revision == self.replica.revision:
             return None
-        self._reported_to = self.replica.revision
-        return Rollouts(rows, joined, self._reported_to)
+        self._reported_revision = self.replica.revision
+        return Rollouts(rows, joined, self._reported_revision)
 
-    def _follow(self, uid: str, revision: int, now: int) -> None:
+    def _track_change(self, uid: str, revision: int, now: int) -> None:
         self._recent.pop(uid, None)
-        self._recent[uid] = _Recent(revision, now)
-        self._unsettled[uid] = None
-        if len(self._recent) > RECENT:
-            self._follow_no_longer()
+        self._recent[uid] = _RecentChange(revision, now)
+        self._unreported[uid] = None
+        if len(self._recent) > MAX_TRACKED_CHANGES:
+            self._untrack_oldest_change()
 
-    def _follow_no_longer(self) -> None:
+    def _untrack_oldest_change(self) -> None:
         """Of the oldest change."""
         uid, _ = self._recent.popitem(last=False)
-        self._unsettled.pop(uid, None)
+        self._unreported.pop(uid, None)
         self._reported.pop(uid, None)
 
-    def _sums_change(self, uid: str) -> None:
+    def _mark_unreported(self, uid: str) -> None:
         if uid in self._recent:
-            self._unsettled[uid] = None
+            self._unreported[uid] = None
--- a/tansywood/distribution/stream.py
+++ b/tansywood/distribution/stream.py
@@ -17,14 +17,16 @@
 from collections.abc import Sequence
 from typing import Protocol, cast
 
-from tansywood.distribution.messages import MAX_FRAME, Message, MessageError, pack, unpack
-from tansywood.distribution.refusals import described
+from tansywood.distribution.messages import MAX_FRAME_BYTES, Message, MessageError, pack, unpack
+from tansywood.distribution.refusals import describe_refusal
 from tansywood.fleet.messages import LIFE
 from tansywood.fleet.seal import Seal, SealError
 
-LENGTH = struct.Struct(">I")
-MAX_SEALED = MAX_FRAME + 64
-HIGH_WATER = 256 << 10  # bytes that wait for a peer that does not read; more is not taken
+FRAME_LENGTH = struct.Struct(">I")
+MAX_SEALED_BYTES = MAX_FRAME_BYTES + 64
+WRITE_HIGH_WATER_BYTES = (
+    256 << 10
+)  # bytes that wait for a peer that does not read; more is not taken
 
 
 class Keys(Protocol):
@@ -49,20 +51,20 @@
     """One connection. `refused` counts what is not taken, over all streams of a process."""
 
     def __init__(
-        self, owner: Owner, keys: Keys, fleet: str, connector: bool, refused: Counter[str]
+        self, owner: Owner, keys: Keys, fleet: str, is_connector: bool, refused: Counter[str]
     ) -> None:
         """`connector` tells the two ends of a connection apart."""
         self._owner = owner
         self._keys = keys
         self._fleet = fleet
-        self._connector = connector
+        self._is_connector = is_connector
         self._refused = refused
         self._life = os.urandom(LIFE)
         self._seal: Seal | None = None
-        self._peer = b""
+        self._peer_life = b""
         self._buffer = bytearray()
         self._transport: asyncio.Transport | None = None
-        self._why = "closed by the other end"
+        self._close_reason = "closed by the other end"
         self.refusal = ""  # the reason for which the connection was ended
         self.peer = "an unknown address"
         self.paused = False
@@ -76,7 +78,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         # uvloop's transports are no subclass of asyncio.Transport, so that can't be asserted.
         self._transport = cast(asyncio.Transport, transport)
-        self._transport.set_write_buffer_limits(high=HIGH_WATER)
+        self._transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         address = transport.get_extra_info("peername")
         if address:
             self.peer = f"{address[0]}:{address[1]}"
@@ -84,11 +86,11 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         if exc is not None:
-            self._why = str(exc)
+            self._close_reason = str(exc)
         if self._buffer:
-            self._count("truncated", f"a message that was cut short: {self._why}")
+            self._record_refusal("truncated", f"a message that was cut short: {self._close_reason}")
         self._transport = None
-        self._owner.closed(self, self._why)
+        self._owner.closed(self, self._close_reason)
 
     def pause_writing(self) -> None:
         self.paused = True
@@ -100,10 +102,10 @@
     def data_received(self, data: bytes) -> None:
         self.bytes_in += len(data)
         self._buffer += data
-        if self._seal is None and not self._begin():
+        if self._seal is None and not self._begin_session():
             return
         while self._transport is not None and (frame := self._next_frame()) is not None:
-            self._open(frame)
+            self._open_frame(frame)
 
     # ---- sending and closing ---------------------------------------------------------------
 
@@ -113,25 +115,25 @@
             return
         sealed = self._seal.seal(pack(message))
         self.messages_out += 1
-        self._write(LENGTH.pack(len(sealed)) + sealed)
+        self._write(FRAME_LENGTH.pack(len(sealed)) + sealed)
 
     def close(self, why: str) -> None:
         """Send what waits, then close."""
-        self._why = why
+        self._close_reason = why
         if self._transport is not None:
             self._transport.close()
 
     def abort(self, why: str) -> None:
         """Close now; what waits is dropped."""
-        self._why = why
+        self._close_reason = why
         if self._transport is not None:
             self._transport.abort()
 
-    def refuse(self, reason: str, what: str) -> None:
+    def refuse(self, reason: str, detail: str) -> None:
         """Take nothing more from this peer; counted, and told by `closed`."""
-        self._count(reason, what)
+        self._record_refusal(reason, detail)
         self._buffer.clear()
-        self.abort(self._why)
+        self.abort(self._close_reason)
 
     # ---- the parts -------------------------------------------------------------------------
 
@@ -140,38 +142,40 @@
             self.bytes_out += len(data)
             self._transport.write(data)
 
-    def _begin(self) -> bool:
+    def _begin_session(self) -> bool:
         if len(self._buffer) < LIFE:
             return False
-        self._peer = bytes(self._buffer[:LIFE])
+        self._peer_life = bytes(self._buffer[:LIFE])
         del self._buffer[:LIFE]
-        lives = (self._life, self._peer) if self._connector else (self._peer, self._life)
-        bound = hashlib.sha256(
+        lives = (
+            (self._life, self._peer_life) if self._is_connector else (self._peer_life, self._life)
+        )
+        binding = hashlib.sha256(
             b"\n".join([b"tansywood distribution 1", self._fleet.encode(), *lives])
         ).digest()
-        self._seal = Seal(self._keys(), bound, self._life)
+        self._seal = Seal(self._keys(), binding, self._life)
         self._owner.opened(self)
         return True
 
     def _next_frame(self) -> bytes | None:
-        if len(self._buffer) < LENGTH.size:
+        if len(self._buffer) < FRAME_LENGTH.size:
             return None
-        (length,) = LENGTH.unpack_from(self._buffer)
-        if length > MAX_SEALED:
-            self.refuse("oversize", f"a frame of {length} bytes; {MAX_SEALED} at most")
+        (length,) = FRAME_LENGTH.unpack_from(self._buffer)
+        if length > MAX_SEALED_BYTES:
+            self.refuse("oversize", f"a frame of {length} bytes; {MAX_SEALED_BYTES} at most")
             return None
-        end = LENGTH.size + length
+        end = FRAME_LENGTH.size + length
         if len(self._buffer) < end:
             return None
-        frame = bytes(self._buffer[LENGTH.size : end])
+        frame = bytes(self._buffer[FRAME_LENGTH.size : end])
         del self._buffer[:end]
         return frame
 
-    def _open(self, frame: bytes) -> None:
+    def _open_frame(self, frame: bytes) -> None:
         assert self._seal is not None
         try:
             life, body = self._seal.open(frame)
-            if life != self._peer:
+            if life != self._peer_life:
                 raise SealError("forged")
             message = unpack(body)
         except SealError as err:
@@ -183,7 +187,7 @@
         self.messages_in += 1
         self._owner.received(self, message)
 
-    def _count(self, reason: str, what: str) -> None:
+    def _record_refusal(self, reason: str, detail: str) -> None:
         self._refused[reason] += 1
         self.refusal = reason
-        self._why = described(reason, what)
+        self._close_reason = describe_refusal(reason, detail)
--- a/tansywood/distribution/subscriber.py
+++ b/tansywood/distribution/subscriber.py
@@ -22,12 +22,12 @@
     Acknowledge,
     Busy,
     Changes,
-    Found,
     Hello,
+    InstancesMoved,
     Kind,
     Lookup,
+    LookupResult,
     Message,
-    Moved,
     Progress,
     Refusal,
     Resource,
@@ -35,12 +35,12 @@
     Versions,
     Welcome,
 )
+from tansywood.distribution.parameters import MS, Parameters
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.source import ProtocolError
-from tansywood.distribution.terms import MS, Terms
 
-VERSIONS_MOST = 4_000  # in one message
-REFUSALS_MOST = 1_000  # in one message
+MAX_VERSIONS_PER_MESSAGE = 4_000  # in one message
+MAX_REFUSALS_PER_MESSAGE = 1_000  # in one message
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HangUp:
+class Disconnect:
     """Close the attempt's connection; nothing more is told of it."""
 
     attempt: int
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Continued:
+class EpochContinued:
     """The replica went over to an epoch that continues its history."""
 
 
@@ -93,7 +93,7 @@
     can tell any more; a comparison tells what still holds."""
 
 
-Action = Dial | HangUp | Send | Apply | Answer | Continued | HistoryChanged
+Action = Dial | Disconnect | Send | Apply | Answer | EpochContinued | HistoryChanged
 
 
 class Link(Enum):
@@ -106,10 +106,10 @@
 
 
 @dataclass(slots=True)
-class _Question:
+class _OpenLookup:
     aliases: tuple[str, ...]
-    until: int
-    again: int = NEVER
+    deadline: int
+    retry_at: int = NEVER
     serial: int = 0  # of the message that asks it
 
 
@@ -118,9 +118,9 @@
     number: int
     progress: int
     uids: tuple[str, ...] = ()
-    answered: int = 0  # the lookup whose answer this is
+    lookup: int = 0  # the lookup whose answer this is
     done: bool = False
-    forgotten: bool = False  # its revisions are those of a history that is not ours any more
+    obsolete: bool = False  # its revisions are those of a history that is not ours any more
 
 
 class Subscriber:
@@ -131,7 +131,7 @@
         name: str,
         addresses: Sequence[str],
         replica: Replica,
-        terms: Terms,
+        parameters: Parameters,
         random: Random,
         now: int,
         everything: bool = False,
@@ -140,11 +140,11 @@
         self.name = name
         self.replica = replica
         self.subscriptions: set[str] = set()  # of an instance, at the source that is followed
-        self.terms = terms
+        self.parameters = parameters
         self.everything = everything
         self.actions: list[Action] = []
         self.link = Link.DOWN
-        self.dialing = Dialing(name, addresses, terms, random, now)
+        self.dialing = Dialing(name, addresses, parameters, random, now)
         self.connections = 0  # welcomes, over time
         self.losses = 0
         self.left_stale = 0
@@ -152,32 +152,36 @@
         self.attempt = 0  # that is followed; while none is, the last one that was dialled
         self.address = self.dialing.addresses[0]  # that is followed, or was dialled last
         self._welcome_due = NEVER  # from the source that is greeted
-        self._heard = now
-        self._said = now
-        self._publisher_heard: int | None = None
-        self._stale_again = now
-        self._stale_wait = terms.stale_again_first
-        self._stale_tries = 0  # others that may still be asked for one that hears the publisher
-        self._questions: OrderedDict[int, _Question] = OrderedDict()
-        self._next_question = 1
+        self._last_received = now
+        self._last_sent = now
+        self._publisher_heard_at: int | None = None
+        self._next_stale_check = now
+        self._stale_check_backoff = parameters.stale_check_backoff_base_ns
+        self._stale_switches_left = (
+            0  # others that may still be asked for one that hears the publisher
+        )
+        self._open_lookups: OrderedDict[int, _OpenLookup] = OrderedDict()
+        self._next_lookup = 1
         self._next_serial = 1
-        self._serials: dict[int, int] = {}  # of open questions, by the message that asks each
-        self._unsubscribed: OrderedDict[str, int] = OrderedDict()  # before which serial
-        self._batches: deque[_Batch] = deque()
+        self._lookup_by_serial: dict[
+            int, int
+        ] = {}  # of open questions, by the message that asks each
+        self._unsubscribed_before: OrderedDict[str, int] = OrderedDict()  # before which serial
+        self._pending_batches: deque[_Batch] = deque()
         self._next_batch = 1
         self._acknowledged = 0
-        self._answered = 0  # what lookups up to this one found is in force
-        self._following: tuple[int, set[str]] = (0, set())  # a lookup, what follows its answer
-        self._refusing: dict[str, Refusal] = {}  # what is refused of what is held
-        self._refusals: dict[str, Refusal] = {}  # of these, what the source was not told yet
+        self._applied_lookup = 0  # what lookups up to this one found is in force
+        self._partial_lookup: tuple[int, set[str]] = (0, set())  # a lookup, what follows its answer
+        self._current_refusals: dict[str, Refusal] = {}  # what is refused of what is held
+        self._unsent_refusals: dict[str, Refusal] = {}  # of these, what the source was not told yet
 
     # ---- the connection --------------------------------------------------------------------
 
     def publisher_age(self, now: int) -> int | None:
         """How long ago the publisher was heard, by way of whatever source; None: never."""
-        if self._publisher_heard is None:
+        if self._publisher_heard_at is None:
             return None
-        return max(now - self._publisher_heard, 0)
+        return max(now - self._publisher_heard_at, 0)
 
     def connected(self, attempt: int, now: int) -> None:
         """The first that answers is followed; the others are closed before they are told of us."""
@@ -185,26 +189,26 @@
             return
         answered, others = self.dialing.answered(attempt)
         for other in others:
-            self.actions.append(HangUp(other, "another source answered first"))
+            self.actions.append(Disconnect(other, "another source answered first"))
         self.link = Link.GREETING
         self.attempt = attempt
         self.address = answered.address
-        self._welcome_due = answered.until
-        self._heard = now
-        self._greet(now)
+        self._welcome_due = answered.deadline
+        self._last_received = now
+        self._send_hello(now)
 
-    def _greet(self, now: int) -> None:
+    def _send_hello(self, now: int) -> None:
         replica = self.replica
         self.subscriptions = set() if self.everything else set(replica.entries)
-        self._serials.clear()
-        self._unsubscribed.clear()
-        self._following = (0, set())
-        self._disown_unfinished()
+        self._lookup_by_serial.clear()
+        self._unsubscribed_before.clear()
+        self._partial_lookup = (0, set())
+        self._exclude_unapplied()
         held = list(self.subscriptions)
-        only_fresh = self._stale_tries > 0
-        place = replica.position
+        only_fresh = self._stale_switches_left > 0
+        position = replica.position
         hello = Hello(
-            self.name, self.everything, place, held, replica.newest, only_fresh, replica.whole
+            self.name, self.everything, position, held, replica.newest, only_fresh, replica.whole
         )
         self._send(hello, now)
 
@@ -212,7 +216,7 @@
         if attempt in self.dialing:
             self._dial_failed(attempt, now, why)
         elif attempt == self.attempt and self.link in (Link.GREETING, Link.UP):
-            self._lost(now, why)
+            self._connection_lost(now, why)
 
     def tick(self, now: int) -> None:
         """Do what is due; call it at `next_due` at the latest."""
@@ -220,32 +224,35 @@
             self._dial(now)
         elif self.link is Link.GREETING:
             if now >= self._welcome_due:
-                self._hang_up(now, f"no welcome in {self.terms.dial // MS} ms")
-        elif now - self._heard >= self.terms.silence:
-            self._hang_up(now, f"silent for {self.terms.silence // MS} ms")
-        elif now - self._said >= self.terms.heartbeat:
+                self._disconnect(now, f"no welcome in {self.parameters.dial_timeout_ns // MS} ms")
+        elif now - self._last_received >= self.parameters.silence_timeout_ns:
+            self._disconnect(now, f"silent for {self.parameters.silence_timeout_ns // MS} ms")
+        elif now - self._last_sent >= self.parameters.heartbeat_interval_ns:
             self._acknowledge(now)
-        self._ask_again(now)
+        self._retry_lookups(now)
 
     def next_due(self) -> int:
         if self.link is Link.UP:
-            due = min(self._heard + self.terms.silence, self._said + self.terms.heartbeat)
+            due = min(
+                self._last_received + self.parameters.silence_timeout_ns,
+                self._last_sent + self.parameters.heartbeat_interval_ns,
+            )
         elif self.link is Link.GREETING:
             due = self._welcome_due
         else:
             due = self.dialing.next_due()
-        for question in self._questions.values():
-            again = question.again if self.link is Link.UP else NEVER
-            due = min(due, question.until, again)
+        for question in self._open_lookups.values():
+            retry_at = question.retry_at if self.link is Link.UP else NEVER
+            due = min(due, question.deadline, retry_at)
         return due
 
     def _dial(self, now: int) -> None:
         """End dials that were not answered in time, and make the one that is due."""
         for attempt in self.dialing.expired(now):
-            why = f"no welcome in {self.terms.dial // MS} ms"
-            self.actions.append(HangUp(attempt, why))
+            why = f"no welcome in {self.parameters.dial_timeout_ns // MS} ms"
+            self.actions.append(Disconnect(attempt, why))
             self._dial_failed(attempt, now, why)
-        due = self.dialing.next(now)
+        due = self.dialing.next_attempt(now)
         if due is not None:
             self.link = Link.DIALING
             self.attempt = due.number
@@ -257,21 +264,21 @@
         if not self.dialing:
             self.link = Link.DOWN
 
-    def _hang_up(self, now: int, why: str) -> None:
-        self.actions.append(HangUp(self.attempt, why))
-        self._lost(now, why)
+    def _disconnect(self, now: int, why: str) -> None:
+        self.actions.append(Disconnect(self.attempt, why))
+        self._connection_lost(now, why)
 
-    def _turned_away(self, now: int, busy: Busy) -> None:
+    def _on_busy(self, now: int, busy: Busy) -> None:
         """Go elsewhere; back here not before the time that was told, and a random while."""
-        self.dialing.bar(self.address, now, busy.retry_after_ms * MS)
-        self._stale_tries = max(self._stale_tries - 1, 0)
-        self._hang_up(now, f"busy: {busy.reason}")
+        self.dialing.defer(self.address, now, busy.retry_after_ms * MS)
+        self._stale_switches_left = max(self._stale_switches_left - 1, 0)
+        self._disconnect(now, f"busy: {busy.reason}")
 
-    def _lost(self, now: int, why: str) -> None:
+    def _connection_lost(self, now: int, why: str) -> None:
         """Go on to the next source after a random while."""
         self.link = Link.DOWN
         self._count_loss(self.address, why)
-        self.dialing.lost(now)
+        self.dialing.source_lost(now)
 
     def _count_loss(self, address: str, why: str) -> None:
         self.losses += 1
@@ -283,30 +290,32 @@
         """ProtocolError where a source may not say this; the connection is to be closed then."""
         if attempt != self.attempt or self.link in (Link.DOWN, Link.DIALING):
             return
-        self._heard = now
+        self._last_received = now
         if isinstance(message, Welcome):
-            self._welcomed(now, message)
+            self._on_welcome(now, message)
         elif isinstance(message, Busy):
-            self._turned_away(now, message)
+            self._on_busy(now, message)
         elif self.link is not Link.UP:
             raise ProtocolError(f"{type(message).__name__} before a welcome")
         elif isinstance(message, Changes):
-            self._changed(now, message)
+            self._on_changes(now, message)
         elif isinstance(message, Progress):
-            self._progressed(now, message)
-        elif isinstance(message, Found):
-            self._found(now, message)
-        elif not isinstance(message, Moved):  # that one is read by whoever serves instances
+            self._on_progress(now, message)
+        elif isinstance(message, LookupResult):
+            self._on_lookup_result(now, message)
+        elif not isinstance(
+            message, InstancesMoved
+        ):  # that one is read by whoever serves instances
             raise ProtocolError(f"{type(message).__name__} is not for a subscriber")
 
-    def _welcomed(self, now: int, welcome: Welcome) -> None:
+    def _on_welcome(self, now: int, welcome: Welcome) -> None:
         replica = self.replica
         if welcome.position.epoch < replica.epoch:
-            self._hang_up(now, "its history is older than what is held")
+            self._disconnect(now, "its history is older than what is held")
             return
         first = self.link is Link.GREETING
         self.link = Link.UP
-        self._publisher_told(now, welcome.age_ms)
+        self._note_publisher_age(now, welcome.age_ms)
         if welcome.position.epoch > replica.epoch:
             self._change_epoch(welcome)
         elif welcome.compare and self.everything:
@@ -315,32 +324,32 @@
         if welcome.compare:
             self._send_versions(now)
         if first:
-            self._begin(now)
+            self._start_session(now)
 
-    def _begin(self, now: int) -> None:
+    def _start_session(self, now: int) -> None:
         """Tell a source that knows nothing of us what is in force here, and ask what is open."""
         self.connections += 1
         self.dialing.welcomed()
-        self._refusals = dict(self._refusing)
+        self._unsent_refusals = dict(self._current_refusals)
         self._acknowledge(now)
-        for number, question in self._questions.items():
-            self._ask(number, question, now)
+        for number, question in self._open_lookups.items():
+            self._send_lookup(number, question, now)
 
     def _change_epoch(self, welcome: Welcome) -> None:
         replica = self.replica
         if welcome.compare:
             self._acknowledged = 0
-            for batch in self._batches:
+            for batch in self._pending_batches:
                 batch.progress = 0
-                batch.forgotten = True
-            for uid, refusal in self._refusing.items():
-                self._refusing[uid] = Refusal(uid, 0, refusal.reason)
+                batch.obsolete = True
+            for uid, refusal in self._current_refusals.items():
+                self._current_refusals[uid] = Refusal(uid, 0, refusal.reason)
             replica.forget_history(welcome.position.epoch, welcome.parent)
             self.actions.append(HistoryChanged())
         else:
             replica.begin_epoch(welcome.position.epoch, welcome.parent)
             self._acknowledge_at_most(replica.whole)
-            self.actions.append(Continued())
+            self.actions.append(EpochContinued())
 
     def _send_versions(self, now: int) -> None:
         """Of what is held. What is subscribed to and not held, since the source knew an older
@@ -349,19 +358,21 @@
             absent = self.subscriptions - self.replica.entries.keys()
             self._unsubscribe(sorted(absent), now)
         rows = list(self.replica.versions())
-        for start in range(0, max(len(rows), 1), VERSIONS_MOST):
-            chunk = rows[start : start + VERSIONS_MOST]
-            self._send(Versions(chunk, start + VERSIONS_MOST >= len(rows)), now)
+        for start in range(0, max(len(rows), 1), MAX_VERSIONS_PER_MESSAGE):
+            chunk = rows[start : start + MAX_VERSIONS_PER_MESSAGE]
+            self._send(Versions(chunk, start + MAX_VERSIONS_PER_MESSAGE >= len(rows)), now)
 
-    def _changed(self, now: int, changes: Changes) -> None:
+    def _on_changes(self, now: int, changes: Changes) -> None:
         # What was given up may have been on its way.
         wanted = [r for r in changes.resources if self.everything or r.uid in self.subscriptions]
-        self._take(wanted, changes.progress, self._answered_by(wanted))
+        self._take_resources(wanted, changes.progress, self._completed_lookup(wanted))
         self._unsubscribe_absent(wanted, now)
         self.replica.advance(changes.progress, changes.whole)
-        self._acknowledge_what_is_done(now)
+        self._acknowledge_applied(now)
 
-    def _take(self, resources: Sequence[Resource], progress: int, answered: int = 0) -> None:
+    def _take_resources(
+        self, resources: Sequence[Resource], progress: int, answered: int = 0
+    ) -> None:
         """Take what is newer than ours, and have it put into force. `answered` is the lookup that
         found it."""
         taken = [r for r in resources if self.replica.take(r)]
@@ -372,91 +383,97 @@
         uids = tuple(resource.uid for resource in taken)
         batch = _Batch(self._next_batch, progress, uids, answered, done=not uids)
         self._next_batch += 1
-        self._batches.append(batch)
+        self._pending_batches.append(batch)
         if uids:
             self.actions.append(Apply(batch.number, uids))
 
-    def _answered_by(self, resources: Sequence[Resource]) -> int:
+    def _completed_lookup(self, resources: Sequence[Resource]) -> int:
         """The lookup whose answer is complete with these; 0 for none. What has no room in an
         answer follows it, before the next answer."""
-        question, missing = self._following
+        question, missing = self._partial_lookup
         missing.difference_update(resource.uid for resource in resources)
         if not missing:
-            self._following = (0, set())
+            self._partial_lookup = (0, set())
             return question
         return 0
 
     def _refuse_unchanged(self, resources: Sequence[Resource]) -> None:
         """What is refused and has not changed is refused at its new revision too; not where a
         later state is being put into force, which is what has not changed then."""
-        deciding = {uid for batch in self._batches if not batch.done for uid in batch.uids}
+        undecided = {uid for batch in self._pending_batches if not batch.done for uid in batch.uids}
         for resource in resources:
-            refusal = self._refusing.get(resource.uid)
-            unchanged = resource.kind is Kind.UNCHANGED and resource.uid not in deciding
+            refusal = self._current_refusals.get(resource.uid)
+            unchanged = resource.kind is Kind.UNCHANGED and resource.uid not in undecided
             if unchanged and refusal is not None:
                 self._refuse(Refusal(resource.uid, resource.revision, refusal.reason))
 
-    def _progressed(self, now: int, progress: Progress) -> None:
+    def _on_progress(self, now: int, progress: Progress) -> None:
         self.replica.advance(progress.progress, progress.whole)
-        self._batches.append(_Batch(0, progress.progress, done=True))
-        if len(self._batches) > 1 and self._batches[-2].number == 0:
-            del self._batches[-2]  # the later heartbeat says all that the earlier one did
-        self._acknowledge_what_is_done(now)
-        self._publisher_told(now, progress.age_ms)
+        self._pending_batches.append(_Batch(0, progress.progress, done=True))
+        if len(self._pending_batches) > 1 and self._pending_batches[-2].number == 0:
+            del self._pending_batches[-2]  # the later heartbeat says all that the earlier one did
+        self._acknowledge_applied(now)
+        self._note_publisher_age(now, progress.age_ms)
         if not self.everything:
-            self._leave_if_stale(now, progress.age_ms * MS)
+            self._leave_stale_source(now, progress.age_ms * MS)
 
-    def _publisher_told(self, now: int, age_ms: int) -> None:
+    def _note_publisher_age(self, now: int, age_ms: int) -> None:
         heard = now - age_ms * MS
-        self._publisher_heard = max(heard, self._publisher_heard or heard)
+        self._publisher_heard_at = max(heard, self._publisher_heard_at or heard)
 
-    def _leave_if_stale(self, now: int, age: int) -> None:
+    def _leave_stale_source(self, now: int, age: int) -> None:
         """Another source may hear the publisher where ours does not: some others are asked, one
         right after the other. Looked for ever less often, since where the publisher itself is
         away they are all alike."""
-        if age < self.terms.stale:
-            self._stale_wait = self.terms.stale_again_first
-            self._stale_again = now
-            self._stale_tries = 0
+        if age < self.parameters.stale_after_ns:
+            self._stale_check_backoff = self.parameters.stale_check_backoff_base_ns
+            self._next_stale_check = now
+            self._stale_switches_left = 0
             return
-        if now >= self._stale_again and len(self.dialing.addresses) > 1:
-            self._stale_again = now + self._stale_wait
-            self._stale_wait = min(self._stale_wait * 2, self.terms.stale_again_most)
-            self._stale_tries = min(self.terms.stale_tries, len(self.dialing.addresses) - 1)
-        elif self._stale_tries:
-            self._stale_tries -= 1
-        if self._stale_tries:
+        if now >= self._next_stale_check and len(self.dialing.addresses) > 1:
+            self._next_stale_check = now + self._stale_check_backoff
+            self._stale_check_backoff = min(
+                self._stale_check_backoff * 2, self.parameters.max_stale_check_backoff_ns
+            )
+            self._stale_switches_left = min(
+                self.parameters.max_stale_switches, len(self.dialing.addresses) - 1
+            )
+        elif self._stale_switches_left:
+            self._stale_switches_left -= 1
+        if self._stale_switches_left:
             self.left_stale += 1
-            self._hang_up(now, f"has not heard the publisher for {age // MS} ms")
+            self._disconnect(now, f"has not heard the publisher for {age // MS} ms")
 
     # ---- putting into force ----------------------------------------------------------------
 
     def applied(self, number: int, now: int, refusals: Sequence[Refusal] = ()) -> None:
         """A batch is in force, but for what is refused."""
-        for batch in self._batches:
+        for batch in self._pending_batches:
             if batch.number == number:
                 batch.done = True
-                self._settle(batch, refusals)
+                self._record_decision(batch, refusals)
                 self._unsubscribe_removed(batch.uids, now)
-        self._acknowledge_what_is_done(now)
+        self._acknowledge_applied(now)
 
-    def _settle(self, batch: _Batch, refusals: Sequence[Refusal]) -> None:
+    def _record_decision(self, batch: _Batch, refusals: Sequence[Refusal]) -> None:
         """Know what of a batch is refused."""
         for uid in batch.uids:
-            self._refusing.pop(uid, None)
-            self._refusals.pop(uid, None)
-        decided_later = {uid for b in self._batches if b.number > batch.number for uid in b.uids}
+            self._current_refusals.pop(uid, None)
+            self._unsent_refusals.pop(uid, None)
+        decided_later = {
+            uid for b in self._pending_batches if b.number > batch.number for uid in b.uids
+        }
         for refusal in refusals:
             entry = self.replica.entries.get(refusal.uid)
             if entry is not None and refusal.uid not in decided_later:
                 # Its revision may be a later one by now, or one of another history.
                 self._refuse(Refusal(refusal.uid, max(entry.revision, 0), refusal.reason))
-            elif not batch.forgotten:
+            elif not batch.obsolete:
                 self._refuse(refusal)
 
     def _refuse(self, refusal: Refusal) -> None:
-        self._refusing[refusal.uid] = refusal
-        self._refusals[refusal.uid] = refusal
+        self._current_refusals[refusal.uid] = refusal
+        self._unsent_refusals[refusal.uid] = refusal
 
     def _unsubscribe_removed(self, uids: Sequence[str], now: int) -> None:
         """A removal is in force: its subscription ends with that."""
@@ -466,42 +483,42 @@
 
     def _unsubscribe_absent(self, resources: Sequence[Resource], now: int) -> None:
         """Of a removal that was known there is nothing to put into force."""
-        applying = {uid for batch in self._batches for uid in batch.uids}
+        applying = {uid for batch in self._pending_batches for uid in batch.uids}
         removed = [r.uid for r in resources if r.kind is Kind.REMOVED and r.uid not in applying]
         self._unsubscribe_removed(removed, now)
 
-    def _acknowledge_what_is_done(self, now: int) -> None:
-        before = self._acknowledged, self._answered
-        while self._batches and self._batches[0].done:
-            batch = self._batches.popleft()
+    def _acknowledge_applied(self, now: int) -> None:
+        before = self._acknowledged, self._applied_lookup
+        while self._pending_batches and self._pending_batches[0].done:
+            batch = self._pending_batches.popleft()
             self._acknowledged = max(self._acknowledged, batch.progress)
-            self._answered = max(self._answered, batch.answered)
-        news = (self._acknowledged, self._answered) != before or self._refusals
-        if self.link is Link.UP and news:
+            self._applied_lookup = max(self._applied_lookup, batch.lookup)
+        has_news = (self._acknowledged, self._applied_lookup) != before or self._unsent_refusals
+        if self.link is Link.UP and has_news:
             self._acknowledge(now)
 
     def _acknowledge(self, now: int) -> None:
-        refusals = list(self._refusals.values())
-        self._refusals.clear()
-        for start in range(0, max(len(refusals), 1), REFUSALS_MOST):
-            chunk = refusals[start : start + REFUSALS_MOST]
-            self._send(Acknowledge(self._acknowledged, chunk, self._answered), now)
+        refusals = list(self._unsent_refusals.values())
+        self._unsent_refusals.clear()
+        for start in range(0, max(len(refusals), 1), MAX_REFUSALS_PER_MESSAGE):
+            chunk = refusals[start : start + MAX_REFUSALS_PER_MESSAGE]
+            self._send(Acknowledge(self._acknowledged, chunk, self._applied_lookup), now)
 
-    def _disown_unfinished(self) -> None:
+    def _exclude_unapplied(self) -> None:
         """To the next source what is subscribed to counts as in force up to where we say so. What
         was found, and is not in force yet, may be older than that: say less until it is."""
-        if self._batches:
-            last = self._batches[-1]
+        if self._pending_batches:
+            last = self._pending_batches[-1]
             last.progress = max(last.progress, self._acknowledged)
         bound = NEVER
-        for batch in reversed(self._batches):
+        for batch in reversed(self._pending_batches):
             batch.progress = min(batch.progress, bound)
             held = [] if batch.done else [self.replica.entries.get(uid) for uid in batch.uids]
             revisions = [entry.revision for entry in held if entry is not None]
             bound = min([bound, *(max(revision - 1, 0) for revision in revisions)])
         self._acknowledged = min(self._acknowledged, bound)
 
-    def _hold_back(self, revision: int) -> None:
+    def _step_back(self, revision: int) -> None:
         """Something was taken that holds only up to there: neither resume nor say we have more."""
         self.replica.step_back(revision)
         self._acknowledge_at_most(revision)
@@ -509,7 +526,7 @@
     def _acknowledge_at_most(self, revision: int) -> None:
         """Of what has been taken so far."""
         self._acknowledged = min(self._acknowledged, revision)
-        for batch in self._batches:
+        for batch in self._pending_batches:
             batch.progress = min(batch.progress, revision)
 
     # ---- lookups ---------------------------------------------------------------------------
@@ -517,20 +534,20 @@
     def lookup(self, aliases: Sequence[str], now: int) -> int:
         """Ask whose these are, and hold what is found. An Answer follows under this number; None
         where no source could say in time, or none that knows as much as we do."""
-        number = self._next_question
-        self._next_question += 1
-        question = _Question(tuple(aliases), now + self.terms.question_wait)
-        self._questions[number] = question
+        number = self._next_lookup
+        self._next_lookup += 1
+        question = _OpenLookup(tuple(aliases), now + self.parameters.lookup_timeout_ns)
+        self._open_lookups[number] = question
         if self.link is Link.UP:
-            self._ask(number, question, now)
+            self._send_lookup(number, question, now)
         return number
 
-    def give_up(self, uids: Sequence[str], now: int) -> None:
+    def unsubscribe(self, uids: Sequence[str], now: int) -> None:
         """Hold these no longer."""
         for uid in uids:
             self.replica.give_up(uid)
-            self._refusing.pop(uid, None)
-            self._refusals.pop(uid, None)
+            self._current_refusals.pop(uid, None)
+            self._unsent_refusals.pop(uid, None)
         self._unsubscribe(uids, now)
 
     def _unsubscribe(self, uids: Sequence[str], now: int) -> None:
@@ -538,64 +555,68 @@
         subscribes to nothing any more."""
         self.subscriptions.difference_update(uids)
         for uid in uids:
-            self._unsubscribed[uid] = self._next_serial
-            self._unsubscribed.move_to_end(uid)
+            self._unsubscribed_before[uid] = self._next_serial
+            self._unsubscribed_before.move_to_end(uid)
         if self.link in (Link.GREETING, Link.UP) and uids:  # a hello may have named them
             self._send(Unsubscribe(list(uids)), now)
 
-    def _ask(self, number: int, question: _Question, now: int) -> None:
-        self._serials.pop(question.serial, None)
-        question.again = NEVER
+    def _send_lookup(self, number: int, question: _OpenLookup, now: int) -> None:
+        self._lookup_by_serial.pop(question.serial, None)
+        question.retry_at = NEVER
         question.serial = self._next_serial
-        self._serials[question.serial] = number
+        self._lookup_by_serial[question.serial] = number
         self._next_serial += 1
         self._send(Lookup(question.serial, list(question.aliases)), now)
 
-    def _ask_again(self, now: int) -> None:
-        for number, question in list(self._questions.items()):
-            if now >= question.until:
-                del self._questions[number]
-                self._serials.pop(question.serial, None)
+    def _retry_lookups(self, now: int) -> None:
+        for number, question in list(self._open_lookups.items()):
+            if now >= question.deadline:
+                del self._open_lookups[number]
+                self._lookup_by_serial.pop(question.serial, None)
                 self.actions.append(Answer(number, None))
-            elif now >= question.again and self.link is Link.UP:
-                self._ask(number, question, now)
+            elif now >= question.retry_at and self.link is Link.UP:
+                self._send_lookup(number, question, now)
 
-    def _found(self, now: int, found: Found) -> None:
+    def _on_lookup_result(self, now: int, found: LookupResult) -> None:
         held = self.replica.entries
-        wanted = {uid for uid in found.uids if uid and self._subscribes(uid, found.question)}
+        wanted = {uid for uid in found.uids if uid and self._accepts_answer(uid, found.question)}
         older = {u for u in wanted if self.replica.may_have_held_newer(u, found.revision)}
         if older:  # asked for again, below
             wanted -= older
             self._unsubscribe(sorted(older), now)
         self.subscriptions |= wanted
         if not wanted <= held.keys():
-            self._hold_back(found.revision)
+            self._step_back(found.revision)
         resources = [r for r in found.resources if r.uid in wanted]
         if wanted:
-            self._following = (found.question, wanted - held.keys())
-        self._take(resources, self._acknowledged, self._answered_by(resources) if wanted else 0)
-        self._acknowledge_what_is_done(now)
-        self._forget_unsubscribed(found.question + 1)
-        number = self._serials.pop(found.question, None)
+            self._partial_lookup = (found.question, wanted - held.keys())
+        self._take_resources(
+            resources, self._acknowledged, self._completed_lookup(resources) if wanted else 0
+        )
+        self._acknowledge_applied(now)
+        self._prune_unsubscribed(found.question + 1)
+        number = self._lookup_by_serial.pop(found.question, None)
         if number is None:
             return
-        question = self._questions[number]
+        question = self._open_lookups[number]
         behind = found.revision < self.replica.newest
         if all(uid in held if uid else not behind for uid in found.uids):
-            del self._questions[number]
+            del self._open_lookups[number]
             self.actions.append(Answer(number, tuple(found.uids)))
         else:
             # This source knows an older state than we had: it is told the newer one soon.
-            question.again = now + self.terms.ask_again
+            question.retry_at = now + self.parameters.lookup_retry_delay_ns
 
-    def _forget_unsubscribed(self, serial: int) -> None:
+    def _prune_unsubscribed(self, serial: int) -> None:
         """Nothing that was asked before this one will be answered any more."""
-        while self._unsubscribed and next(iter(self._unsubscribed.values())) <= serial:
-            self._unsubscribed.popitem(last=False)
+        while (
+            self._unsubscribed_before and next(iter(self._unsubscribed_before.values())) <= serial
+        ):
+            self._unsubscribed_before.popitem(last=False)
 
-    def _subscribes(self, uid: str, serial: int) -> bool:
-        return serial >= self._unsubscribed.get(uid, 0)
+    def _accepts_answer(self, uid: str, serial: int) -> bool:
+        return serial >= self._unsubscribed_before.get(uid, 0)
 
     def _send(self, message: Message, now: int) -> None:
-        self._said = now
+        self._last_sent = now
         self.actions.append(Send(message))
--- a/tansywood/service/agent.py
+++ b/tansywood/service/agent.py
@@ -31,11 +31,11 @@
     alias_of_listener,
     alias_of_name,
 )
+from tansywood.distribution.parameters import MS, SECOND, Parameters
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.resources import ViewError, aliases_of
 from tansywood.distribution.stream import Keys
 from tansywood.distribution.subscriber import Action, Answer, Apply, Link, Subscriber
-from tansywood.distribution.terms import MS, SECOND, Terms
 from tansywood.fleet.keyfile import KeyFile
 from tansywood.service import part
 from tansywood.service.inforce import Refused, ViewsInForce
@@ -96,8 +96,8 @@
         self.feed = Feed(place.feed, self._views, self)
         # Later agents of this node begin with a higher one: followers' are compared over lives.
         self.feed.seq = time.time_ns() // 1000
-        terms, now = subscriber.terms, time.monotonic_ns()
-        self.interest = Interest(terms, now, bound, round(idle_s * SECOND))
+        parameters, now = subscriber.parameters, time.monotonic_ns()
+        self.interest = Interest(parameters, now, bound, round(idle_s * SECOND))
         self.releases = Releases(self.feed.tell, self._given_up, self._called_off)
         self.restore = Restore()
         self.views = ViewsInForce()
@@ -295,7 +295,7 @@
         self.refused.pop(uid, None)
         self.feed.reports.pop(uid, None)
         self.feed.tell(DOOR, {"forget": uid})
-        self.client.give_up([uid])
+        self.client.unsubscribe([uid])
 
     def _called_off(self, uid: str) -> None:
         self.interest.kept(uid, time.monotonic_ns())
@@ -450,12 +450,12 @@
         parser.error(f"--tenants: 1 to {BOUND_MOST}")
 
     async def run(loop: asyncio.AbstractEventLoop) -> int:
-        terms = Terms()
+        parameters = Parameters()
         subscriber = Subscriber(
             options.name,
             options.control,
-            Replica(terms.window),
-            terms,
+            Replica(parameters.max_resumable_changes),
+            parameters,
             Random(),
             time.monotonic_ns(),
         )
--- a/tansywood/service/lookups.py
+++ b/tansywood/service/lookups.py
@@ -16,13 +16,13 @@
     alias_of_listener,
     alias_of_name,
 )
-from tansywood.distribution.terms import MS, Terms
+from tansywood.distribution.parameters import MS, Parameters
 from tansywood.tenancy.door import Lobby
 from tansywood.tenancy.identity import Shown
 from tansywood.tenancy.schema import HOST, NAME
 
 GRACE_MS = 250  # beyond the agent's own patience with its question
-PATIENCE_MS = Terms().question_wait // MS + GRACE_MS
+PATIENCE_MS = Parameters().lookup_timeout_ns // MS + GRACE_MS
 _HOST = re.compile(HOST)
 _NAME = re.compile(NAME)
 
--- a/tansywood/service/releases.py
+++ b/tansywood/service/releases.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from tansywood.distribution.terms import SECOND
+from tansywood.distribution.parameters import SECOND
 
 ANSWER = SECOND  # a follower answers within so long
 DOOR = "door"
--- a/tests/admin/test_publisher.py
+++ b/tests/admin/test_publisher.py
@@ -13,8 +13,8 @@
 from tansywood.admin.core import Administration
 from tansywood.admin.publisher import Publisher, begin_epoch, replica_of
 from tansywood.distribution.messages import Kind, Position, Rollout, alias_of_key
+from tansywood.distribution.parameters import Parameters
 from tansywood.distribution.resources import decode
-from tansywood.distribution.terms import Terms
 from tansywood.store import Store
 from tansywood.store.aio import AsyncStore
 
@@ -30,7 +30,7 @@
 
 async def publishing(admin: Administration) -> Publisher:
     history = await begin_epoch(admin.store, admin.registry.seq, admin.clock_ms())
-    replica = replica_of(admin.registry, history, Terms().window)
+    replica = replica_of(admin.registry, history, Parameters().max_resumable_changes)
     admin.publisher = Publisher(replica, keys, "fleet")
     return admin.publisher
 
--- a/tests/distribution/model/defences.py
+++ b/tests/distribution/model/defences.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from tansywood.distribution.messages import Lookup, Position
+from tansywood.distribution.parameters import MS
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.source import Session, Source
 from tansywood.distribution.subscriber import Subscriber
-from tansywood.distribution.terms import MS
 
 
 class AnyEpochReplica(Replica):
@@ -41,20 +41,20 @@
 class EarlyCountingSource(Source):
     """Counts what a lookup found as in force at once."""
 
-    def _looked_up(self, session: Session, now: int, lookup: Lookup) -> None:
-        super()._looked_up(session, now, lookup)
-        session.found.clear()
+    def _answer_lookup(self, session: Session, now: int, lookup: Lookup) -> None:
+        super()._answer_lookup(session, now, lookup)
+        session.unapplied_lookups.clear()
 
 
 class BoastfulSubscriber(Subscriber):
     """Tells the next source what it told the last one, whatever is not in force yet."""
 
-    def _disown_unfinished(self) -> None:
+    def _exclude_unapplied(self) -> None:
         """Nothing is disowned."""
 
 
 class TrustedClockSource(Source):
     """Believes that its clock never goes back."""
 
-    def _age_ms(self, now: int) -> int:
-        return 0 if self.is_publisher else (now - self.heard_publisher) // MS
+    def _publisher_age_ms(self, now: int) -> int:
+        return 0 if self.is_publisher else (now - self.publisher_heard_at) // MS
--- a/tests/distribution/model/distributor.py
+++ b/tests/distribution/model/distributor.py
@@ -5,11 +5,11 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from tansywood.distribution.messages import Message, Moved, Welcome
+from tansywood.distribution.messages import InstancesMoved, Message, Welcome
 from tansywood.distribution.subscriber import (
     Action,
     Apply,
-    Continued,
+    EpochContinued,
     HistoryChanged,
     Link,
     Send,
@@ -33,11 +33,17 @@
     def begin(self) -> None:
         """Start with nothing."""
         parts, now = self.world.parts, self.now
-        self.replica = parts.replica(self.world.terms.window)
-        self.source = parts.source(self.replica, self.world.terms, now, is_publisher=False)
+        self.replica = parts.replica(self.world.parameters.max_resumable_changes)
+        self.source = parts.source(self.replica, self.world.parameters, now, is_publisher=False)
         random = Random(self.world.random.random())
         self.subscriber = parts.subscriber(
-            self.name, [PUBLISHER], self.replica, self.world.terms, random, now, everything=True
+            self.name,
+            [PUBLISHER],
+            self.replica,
+            self.world.parameters,
+            random,
+            now,
+            everything=True,
         )
         self.wires = {}
         self.dials = []
@@ -49,7 +55,7 @@
                 self.note_coalescing(uid)
                 self.source.changed(uid, self.replica.resource(uid).revision, now)
             self.subscriber.applied(action.batch, now)
-        elif isinstance(action, Continued):
+        elif isinstance(action, EpochContinued):
             self.world.counts["epochs continued"] += 1
             self.source.epoch_continued(now)
         elif isinstance(action, HistoryChanged):
@@ -69,15 +75,15 @@
             self._heard_above(message)
 
     def _heard_above(self, message: object) -> None:
-        self.source.publisher_heard(self.now)
+        self.source.note_publisher_heard(self.now)
         self.flush()
         if self.replica.revision and not self.source.serving:
             self.replica.set_floor(self.replica.revision)
             self.source.serving = True
-        if isinstance(message, Moved):
+        if isinstance(message, InstancesMoved):
             self.source.moved(message.names)
         elif isinstance(message, Welcome):
-            self.source.report_again()
+            self.source.reset_report()
 
     def tick(self) -> None:
         Server.tick(self)
--- a/tests/distribution/model/instance.py
+++ b/tests/distribution/model/instance.py
@@ -26,9 +26,9 @@
     def begin(self) -> None:
         """Start with nothing."""
         world = self.world
-        self.replica = world.parts.replica(world.terms.window)
+        self.replica = world.parts.replica(world.parameters.max_resumable_changes)
         self.subscriber = world.parts.subscriber(
-            self.name, sorted(world.distributors), self.replica, self.world.terms,
+            self.name, sorted(world.distributors), self.replica, self.world.parameters,
             Random(world.random.random()), self.now,
         )  # fmt: skip
         self.in_force: dict[str, bytes] = {}
@@ -55,7 +55,7 @@
         self.wanted -= set(uids)
         self.uses += 1
         self.given_up.update(dict.fromkeys(uids, self.uses))
-        self.subscriber.give_up(uids, self.now)
+        self.subscriber.unsubscribe(uids, self.now)
         self.flush()
 
     def may_want(self, uid: str) -> bool:
--- a/tests/distribution/model/judgement.py
+++ b/tests/distribution/model/judgement.py
@@ -40,7 +40,7 @@
 def _judge_counts(world: World, node: Node, wire: Wire) -> None:
     source = wire.server.source
     session = source.sessions[wire.number]
-    if session.comparing or not session.welcomed or session.ends:
+    if session.comparing or not session.welcomed or session.closing:
         return
     for uid in session.subscriptions & node.subscriber.subscriptions:
         entry = source.replica.entries.get(uid)
@@ -48,7 +48,7 @@
             continue
         if not _is_latest(world, source, uid, entry.revision):
             continue
-        if session.has(uid, entry.revision):
+        if session.has_applied(uid, entry.revision):
             in_force = node.in_force.get(uid)
             what = f"{wire.server.name} counts {uid} at {entry.revision} as in force"
             holds = in_force == entry.body or uid in node.refused
--- a/tests/distribution/model/network.py
+++ b/tests/distribution/model/network.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from tansywood.distribution.messages import Busy, Message, Welcome, pack
-from tansywood.distribution.source import TOO_MANY, Session, Source
-from tansywood.distribution.subscriber import Action, Dial, HangUp, Send, Subscriber
+from tansywood.distribution.source import TOO_MANY_REASON, Session, Source
+from tansywood.distribution.subscriber import Action, Dial, Disconnect, Send, Subscriber
 
 if TYPE_CHECKING:
     from tests.distribution.model.world import World
@@ -51,7 +51,7 @@
 
     def __init__(self, world: World, name: str) -> None:
         super().__init__(world, name)
-        self.replica = world.parts.replica(world.terms.window)
+        self.replica = world.parts.replica(world.parameters.max_resumable_changes)
         self.source: Source
         self.wires: dict[int, Wire] = {}
         self.down_until = 0
@@ -76,10 +76,10 @@
                 break
             if isinstance(message, Welcome):
                 self.world.counts["compared" if message.compare else "resumed"] += 1
-            elif isinstance(message, Busy) and message.reason == TOO_MANY:
+            elif isinstance(message, Busy) and message.reason == TOO_MANY_REASON:
                 self.world.counts["turned away"] += 1
             wire.down.append(pack(message))
-        if session.ends and not session.control:
+        if session.closing and not session.control:
             wire.closing = True
 
     def received(self, wire: Wire, message: Message) -> None:
@@ -131,7 +131,7 @@
                 self.wire.up.append(pack(action.message))
         elif isinstance(action, Dial):
             self.dials.append(action)
-        elif isinstance(action, HangUp):
+        elif isinstance(action, Disconnect):
             self.dials = [dial for dial in self.dials if dial.attempt != action.attempt]
             if self.wire is not None and self.wire.attempt == action.attempt:
                 wire, self.wire = self.wire, None
--- a/tests/distribution/model/parts.py
+++ b/tests/distribution/model/parts.py
@@ -5,26 +5,26 @@
 from dataclasses import dataclass
 
 from tansywood.distribution.messages import alias_of_host
+from tansywood.distribution.parameters import MS, Parameters
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.source import Source
 from tansywood.distribution.subscriber import Subscriber
-from tansywood.distribution.terms import MS, Terms
-
-TERMS = Terms(
-    heartbeat=40 * MS,
-    silence=160 * MS,
-    dial=80 * MS,
-    attempt_delay=30 * MS,
-    reconnect_first=20 * MS,
-    reconnect_most=60 * MS,
-    stale=120 * MS,
-    stale_again_first=200 * MS,
-    stale_again_most=800 * MS,
-    window=3,
-    batch_bytes=40,
-    away=300 * MS,
-    question_wait=150 * MS,
-    ask_again=30 * MS,
+
+PARAMETERS = Parameters(
+    heartbeat_interval_ns=40 * MS,
+    silence_timeout_ns=160 * MS,
+    dial_timeout_ns=80 * MS,
+    attempt_delay_ns=30 * MS,
+    reconnect_backoff_base_ns=20 * MS,
+    max_reconnect_backoff_ns=60 * MS,
+    stale_after_ns=120 * MS,
+    stale_check_backoff_base_ns=200 * MS,
+    max_stale_check_backoff_ns=800 * MS,
+    max_resumable_changes=3,
+    max_batch_bytes=40,
+    departed_retention_ns=300 * MS,
+    lookup_timeout_ns=150 * MS,
+    lookup_retry_delay_ns=30 * MS,
 )
 STEP = 10 * MS
 FAULTY_STEPS = 160
--- a/tests/distribution/model/publisher.py
+++ b/tests/distribution/model/publisher.py
@@ -60,15 +60,19 @@
     def begin(self) -> None:
         """Start on what the disk holds."""
         disk, random = self.disk, self.world.random
-        self.replica = self.world.parts.replica(self.world.terms.window, disk.epoch, disk.revision)
+        self.replica = self.world.parts.replica(
+            self.world.parameters.max_resumable_changes, disk.epoch, disk.revision
+        )
         self.replica.load(self._resource(uid, c) for uid, c in disk.contents.items())
-        forgotten = max(len(disk.changes) - random.randrange(self.world.terms.window + 1), 0)
+        forgotten = max(
+            len(disk.changes) - random.randrange(self.world.parameters.max_resumable_changes + 1), 0
+        )
         self.replica.set_floor(forgotten)  # revisions count the changes
         for revision, uid in disk.changes[forgotten:]:
             self.replica.record(revision, uid)
         self.replica.begin_epoch(disk.epoch, disk.parent)
         self.source = self.world.parts.source(
-            self.replica, self.world.terms, self.now, is_publisher=True
+            self.replica, self.world.parameters, self.now, is_publisher=True
         )
         self.board = RolloutBoard()
         self.wires = {}
@@ -110,7 +114,7 @@
         if isinstance(message, Rollouts):
             self.board.report(session.name, message.rows, message.revision)
             for distributor, names in self.board.joined(session.name, message.joined).items():
-                self.source.tell_moved(distributor, names)
+                self.source.send_moved(distributor, names)
         elif isinstance(message, Hello) and session.welcomed:
             self.board.connected(session.name)
 
--- a/tests/distribution/model/world.py
+++ b/tests/distribution/model/world.py
@@ -8,8 +8,8 @@
 from random import Random
 
 from tansywood.distribution.messages import Changes, MessageError, unpack
+from tansywood.distribution.parameters import SECOND
 from tansywood.distribution.source import ProtocolError
-from tansywood.distribution.terms import SECOND
 from tests.distribution.model.distributor import Distributor
 from tests.distribution.model.events import Events
 from tests.distribution.model.instance import Node
@@ -18,12 +18,12 @@
 from tests.distribution.model.oracle import Oracle
 from tests.distribution.model.parts import (
     FAULTY_STEPS,
+    PARAMETERS,
     PUBLISHER,
     QUIET_STEPS,
     QUIET_STEPS_LATE,
     STEP,
     TENANTS,
-    TERMS,
     Faults,
     Parts,
     PropertyError,
@@ -38,16 +38,18 @@
         self.seed = seed
         self.parts = parts or Parts()
         self.random = Random(seed)
-        self.terms = replace(
-            TERMS,
-            window=self.random.choice([3, 8, 30]),
-            batch_bytes=self.random.choice([1, 1, 40]),
+        self.parameters = replace(
+            PARAMETERS,
+            max_resumable_changes=self.random.choice([3, 8, 30]),
+            max_batch_bytes=self.random.choice([1, 1, 40]),
         )
         self.faults = faults or Faults()
         if self.faults.admission:
             few = Random(f"admission {seed}")
-            self.terms = replace(
-                self.terms, admit_per_s=few.choice([10, 20, 40]), admit_burst=few.choice([1, 2])
+            self.parameters = replace(
+                self.parameters,
+                admissions_per_s=few.choice([10, 20, 40]),
+                admission_burst=few.choice([1, 2]),
             )
         self.late = Random(f"late answers {seed}")
         self.now = SECOND
--- a/tests/distribution/simulation.py
+++ b/tests/distribution/simulation.py
@@ -15,10 +15,18 @@
 from random import Random
 
 from tansywood.distribution.messages import Busy, Epoch, Hello, Kind, Message, Resource, Welcome
+from tansywood.distribution.parameters import MS, SECOND, Parameters
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.source import Source
-from tansywood.distribution.subscriber import Action, Apply, Dial, HangUp, Link, Send, Subscriber
-from tansywood.distribution.terms import MS, SECOND, Terms
+from tansywood.distribution.subscriber import (
+    Action,
+    Apply,
+    Dial,
+    Disconnect,
+    Link,
+    Send,
+    Subscriber,
+)
 
 LATENCY = 2 * MS  # of a message, one way
 SOURCE_TICK = 100 * MS
@@ -64,9 +72,9 @@
         self.simulation = simulation
         self.address = address
         self.condition = Condition.RUNS
-        replica = Replica(simulation.terms.window, EPOCH)
+        replica = Replica(simulation.parameters.max_resumable_changes, EPOCH)
         replica.commit(Resource(TENANT, 1, Kind.CONTENT, BEFORE))
-        self.core = source_type(replica, simulation.terms, simulation.now, is_publisher=False)
+        self.core = source_type(replica, simulation.parameters, simulation.now, is_publisher=False)
         self.core.serving = True
         self.connections: dict[int, Connection] = {}
         simulation.after(0, self.tick)
@@ -91,7 +99,7 @@
     def tick(self) -> None:
         now = self.simulation.now
         if self.condition is Condition.RUNS:
-            self.core.publisher_heard(now)
+            self.core.note_publisher_heard(now)
         if self.answers:
             for number in self.core.tick(now):
                 self.connections[number].end()
@@ -115,7 +123,7 @@
             connection = self.connections[number]
             while (message := self.core.next_message(number, self.simulation.now)) is not None:
                 connection.send_down(message)
-            if self.core.sessions[number].ends:
+            if self.core.sessions[number].closing:
                 self.simulation.after(2 * LATENCY, connection.end)
 
 
@@ -224,7 +232,7 @@
             greeting = Greeting(simulation.now, self.core.name, action.address)
             simulation.records.dials.append(greeting)
             simulation.after(2 * LATENCY, lambda: self._dialled(action))
-        elif isinstance(action, HangUp):
+        elif isinstance(action, Disconnect):
             connection = self.connections.pop(action.attempt, None)
             if connection is not None:
                 connection.hang_up()
@@ -257,12 +265,12 @@
     def __init__(
         self,
         sources: int,
-        terms: Terms | None = None,
+        parameters: Parameters | None = None,
         source_type: type[Source] = Source,
         seed: int = 1,
     ) -> None:
         self.now = SECOND
-        self.terms = terms or Terms()
+        self.parameters = parameters or Parameters()
         self.random = Random(seed)
         self.records = Records()
         self._events: list[tuple[int, int, Callable[[], object]]] = []
@@ -283,13 +291,13 @@
         added = []
         for _ in range(number):
             name = f"node-{len(self.subscribers)}"
-            replica = Replica(self.terms.window, EPOCH, 1)
+            replica = Replica(self.parameters.max_resumable_changes, EPOCH, 1)
             replica.load([Resource(TENANT, 1, Kind.CONTENT, BEFORE)])
             core = subscriber_type(
                 name,
                 addresses or list(self.sources),
                 replica,
-                self.terms,
+                self.parameters,
                 Random(self.random.random()),
                 self.now,
             )
--- a/tests/distribution/test_coalescing.py
+++ b/tests/distribution/test_coalescing.py
@@ -8,13 +8,13 @@
 import pytest
 
 from tansywood.distribution.messages import Epoch, Kind, Resource
+from tansywood.distribution.parameters import MS, SECOND, Parameters
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.source import Source
 from tansywood.distribution.subscriber import Apply, Dial, Send, Subscriber
-from tansywood.distribution.terms import MS, SECOND, Terms
 from tests.distribution.model.defences import OldPlaceSource
 
-TERMS = Terms(batch_bytes=1)  # one resource a message
+PARAMETERS = Parameters(max_batch_bytes=1)  # one resource a message
 EPOCH = Epoch(1, b"a")
 UIDS = ("first", "again", "last")
 
@@ -24,15 +24,15 @@
 
     def __init__(self, source_type: type[Source], everything: bool) -> None:
         self.now = SECOND
-        self.replica = Replica(TERMS.window, EPOCH)
-        self.source = source_type(self.replica, TERMS, self.now, is_publisher=True)
+        self.replica = Replica(PARAMETERS.max_resumable_changes, EPOCH)
+        self.source = source_type(self.replica, PARAMETERS, self.now, is_publisher=True)
         self.revision = 0
         for uid in UIDS:
             self.change(uid)
-        held = Replica(TERMS.window, EPOCH, self.revision)
+        held = Replica(PARAMETERS.max_resumable_changes, EPOCH, self.revision)
         held.load(self.replica.resource(uid) for uid in UIDS)
         self.subscriber = Subscriber(
-            "n", ["a:1"], held, TERMS, Random(1), self.now, everything=everything
+            "n", ["a:1"], held, PARAMETERS, Random(1), self.now, everything=everything
         )
         self.session = 0
 
--- a/tests/distribution/test_cut_off.py
+++ b/tests/distribution/test_cut_off.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from tansywood.distribution.terms import MS, SECOND, Terms
+from tansywood.distribution.parameters import MS, SECOND, Parameters
 from tests.distribution.simulation import Condition, SimulatedSource, Simulation
 
 IN_FORCE = 4 * SECOND  # from a change until it is in force everywhere
-TERMS = Terms()
+PARAMETERS = Parameters()
 SOURCES = 15
 SUBSCRIBERS = 1_000
 REGION = 4  # sources of one region
@@ -19,7 +19,7 @@
 ) -> int:
     """Time until a change is in force at all subscribers, where so many sources come into each
     condition `committed_after` before it; more than 8 s where it is not within that."""
-    simulation = Simulation(SOURCES, TERMS)
+    simulation = Simulation(SOURCES, PARAMETERS)
     simulation.add_subscribers(subscribers)
     simulation.connect_all(3 * SECOND)
     waiting: list[SimulatedSource] = list(simulation.sources.values())
@@ -57,7 +57,7 @@
 def in_force_after_the_publisher_was_away(away: int) -> int:
     """Time until a change is in force everywhere that the publisher makes as it comes back; 240
     subscribers for each of three sources, which none of them hears meanwhile."""
-    simulation = Simulation(3, TERMS)
+    simulation = Simulation(3, PARAMETERS)
     simulation.add_subscribers(720)
     simulation.connect_all(4 * SECOND)
     for source in simulation.sources.values():
@@ -78,7 +78,7 @@
 
 
 def test_a_long_loss_costs_few_dials_and_its_end_no_crowd() -> None:
-    simulation = Simulation(SOURCES, TERMS)
+    simulation = Simulation(SOURCES, PARAMETERS)
     simulation.add_subscribers(300)
     simulation.connect_all(2 * SECOND)
     simulation.records.dials.clear()
@@ -86,7 +86,7 @@
         source.become(Condition.SILENT)
     simulation.run(20 * SECOND)
     dials = len(simulation.records.dials) / 300
-    assert dials <= SOURCES + 20 * SECOND / TERMS.dial
+    assert dials <= SOURCES + 20 * SECOND / PARAMETERS.dial_timeout_ns
     for source in simulation.sources.values():
         source.become(Condition.RUNS)
     committed = simulation.now
--- a/tests/distribution/test_distributor.py
+++ b/tests/distribution/test_distributor.py
@@ -15,10 +15,10 @@
 from standins.process import ROOT
 from tansywood.distribution.distributor import parse_arguments, pieces
 from tansywood.distribution.messages import Epoch, Kind, Resource, Rollout, Rollouts
+from tansywood.distribution.parameters import Parameters
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.server import SourceServer
 from tansywood.distribution.source import Source
-from tansywood.distribution.terms import Terms
 from tansywood.fleet.keyfile import KeyFile
 from tansywood.fleet.seal import KeyFileError
 from windrelay.config import Address
@@ -37,7 +37,7 @@
     async def story() -> None:
         keys = KeyFile(key_file(tmp_path))
         replica = Replica(100, Epoch(1, b"a"))
-        source = Source(replica, Terms(), time.monotonic_ns(), is_publisher=True)
+        source = Source(replica, Parameters(), time.monotonic_ns(), is_publisher=True)
         server = SourceServer(source, keys, "fleet")
         for number in range(1, 4):
             replica.commit(Resource(f"t{number}", number, Kind.CONTENT, b"body", []))
--- a/tests/distribution/test_flood.py
+++ b/tests/distribution/test_flood.py
@@ -9,10 +9,10 @@
 import pytest
 
 from tansywood.distribution.interest import Interest, State
-from tansywood.distribution.terms import MS, SECOND, Terms
+from tansywood.distribution.parameters import MS, SECOND, Parameters
 from tests.distribution.simulation import most_in_a_window
 
-TERMS = Terms(unknown_most=1_000)
+PARAMETERS = Parameters(max_unknown_aliases=1_000)
 BOUND = 500  # tenants held at most
 NO_BOUND = 1 << 40
 FLOOD = 10 * SECOND
@@ -20,7 +20,7 @@
 DOOR = "door"
 HELD = "h:known.example"
 ANSWERED_AFTER = 5 * MS
-NEVER_ANSWERED = TERMS.question_wait  # control is away: each question lapses
+NEVER_ANSWERED = PARAMETERS.lookup_timeout_ns  # control is away: each question lapses
 
 
 class AsksForAll(Interest):
@@ -33,10 +33,12 @@
 class Flood:
     """10 s of invented hosts, with a request for a held one after every ten."""
 
-    def __init__(self, terms: Terms, after: int, interest_type: type[Interest] = Interest) -> None:
-        self.terms = terms
+    def __init__(
+        self, parameters: Parameters, after: int, interest_type: type[Interest] = Interest
+    ) -> None:
+        self.parameters = parameters
         self.after = after  # until a lookup is answered
-        self.interest = interest_type(terms, 0, BOUND, 600 * SECOND)
+        self.interest = interest_type(parameters, 0, BOUND, 600 * SECOND)
         self.interest.hold("known", [HELD], 0)
         self.most: Counter[str] = Counter()
         self.lookups: list[int] = []  # times
@@ -65,7 +67,7 @@
     def _answer(self, now: int) -> None:
         while self._answers and self._answers[0][0] <= now:
             _, alias = heapq.heappop(self._answers)
-            nobodys = [""] if self.after < self.terms.question_wait else None
+            nobodys = [""] if self.after < self.parameters.lookup_timeout_ns else None
             self.interest.answered([alias], nobodys, now)
 
     def _measure(self) -> None:
@@ -79,12 +81,12 @@
     """Which of the bounds of the shipped terms did not hold."""
     flood.run()
     bounds = {
-        "unknown answers": TERMS.unknown_most,
-        "open questions": TERMS.questions_most,
-        "requests that wait": TERMS.questions_most,
+        "unknown answers": PARAMETERS.max_unknown_aliases,
+        "open questions": PARAMETERS.max_open_lookups,
+        "requests that wait": PARAMETERS.max_open_lookups,
     }
     broken = {what for what, bound in bounds.items() if flood.most[what] > bound}
-    if most_in_a_window(flood.lookups, SECOND) > 1.5 * TERMS.lookups_per_s:
+    if most_in_a_window(flood.lookups, SECOND) > 1.5 * PARAMETERS.lookups_per_s:
         broken.add("lookups a second")
     if set(flood.states) != {State.DONE}:
         broken.add("known hosts are answered")
@@ -95,24 +97,24 @@
 
 @pytest.mark.parametrize("after", [ANSWERED_AFTER, NEVER_ANSWERED])
 def test_invented_hosts_cost_a_bounded_number_of_questions_and_answers(after: int) -> None:
-    flood = Flood(TERMS, after)
+    flood = Flood(PARAMETERS, after)
     assert not broken_bounds(flood)
     assert flood.states[State.DONE] == FLOOD // BETWEEN // 10
 
 
 @pytest.mark.parametrize(
-    ("terms", "after", "found"),
+    ("parameters", "after", "found"),
     [
-        (replace(TERMS, unknown_most=NO_BOUND), ANSWERED_AFTER, "unknown answers"),
-        (replace(TERMS, questions_most=NO_BOUND), NEVER_ANSWERED, "open questions"),
-        (replace(TERMS, lookups_per_s=1e9), ANSWERED_AFTER, "lookups a second"),
+        (replace(PARAMETERS, max_unknown_aliases=NO_BOUND), ANSWERED_AFTER, "unknown answers"),
+        (replace(PARAMETERS, max_open_lookups=NO_BOUND), NEVER_ANSWERED, "open questions"),
+        (replace(PARAMETERS, lookups_per_s=1e9), ANSWERED_AFTER, "lookups a second"),
     ],
     ids=["unknown answers", "open questions", "rate"],
 )
-def test_a_bound_that_is_taken_out_is_found(terms: Terms, after: int, found: str) -> None:
-    assert found in broken_bounds(Flood(terms, after))
+def test_a_bound_that_is_taken_out_is_found(parameters: Parameters, after: int, found: str) -> None:
+    assert found in broken_bounds(Flood(parameters, after))
 
 
 def test_an_instance_that_asks_for_what_it_holds_is_found() -> None:
-    flood = Flood(TERMS, NEVER_ANSWERED, AsksForAll)
+    flood = Flood(PARAMETERS, NEVER_ANSWERED, AsksForAll)
     assert "known hosts are answered" in broken_bounds(flood)
--- a/tests/distribution/test_interest.py
+++ b/tests/distribution/test_interest.py
@@ -7,15 +7,15 @@
 import pytest
 
 from tansywood.distribution.interest import IN_USE, LEAVING_MOST, Asked, Interest, State
-from tansywood.distribution.terms import MS, SECOND, Terms
+from tansywood.distribution.parameters import MS, SECOND, Parameters
 
-TERMS = Terms(lookups_per_s=100.0, questions_most=5, unknown_most=4)
+PARAMETERS = Parameters(lookups_per_s=100.0, max_open_lookups=5, max_unknown_aliases=4)
 IDLE = 600 * SECOND
 DOOR = "door"
 
 
-def interest(bound: int = 3, terms: Terms = TERMS) -> Interest:
-    return Interest(terms, 0, bound, IDLE)
+def interest(bound: int = 3, parameters: Parameters = PARAMETERS) -> Interest:
+    return Interest(parameters, 0, bound, IDLE)
 
 
 def test_one_lookup_is_open_for_an_alias_however_many_ask_and_all_are_told() -> None:
@@ -36,9 +36,9 @@
     for index in range(6):
         one.ask((DOOR, index), [f"h:{index}"], 0)
         one.answered([f"h:{index}"], [""], 0)
-    assert one.unknown_cached == TERMS.unknown_most
-    assert one.ask((DOOR, 9), ["h:5"], TERMS.unknown - 1).state is State.DONE
-    assert one.ask((DOOR, 9), ["h:5"], TERMS.unknown).look_up == ("h:5",)
+    assert one.unknown_cached == PARAMETERS.max_unknown_aliases
+    assert one.ask((DOOR, 9), ["h:5"], PARAMETERS.unknown_alias_ttl_ns - 1).state is State.DONE
+    assert one.ask((DOOR, 9), ["h:5"], PARAMETERS.unknown_alias_ttl_ns).look_up == ("h:5",)
     assert one.ask((DOOR, 10), ["h:0"], 1).look_up == ("h:0",)  # displaced by the later ones
 
 
@@ -64,10 +64,10 @@
     one = interest(bound=100)
     one.hold("t1", ["h:mine"], 0)
     states = [one.ask((DOOR, n), [f"h:{n}"], 0).state for n in range(20)]
-    assert states == [None] * TERMS.questions_most + [State.UNAVAILABLE] * 15
+    assert states == [None] * PARAMETERS.max_open_lookups + [State.UNAVAILABLE] * 15
     assert one.ask((DOOR, 99), ["h:mine"], 0).state is State.DONE
     assert one.ask((DOOR, 100), ["h:own"], 0, urgent=True).look_up == ("h:own",)
-    fast = interest(100, Terms(lookups_per_s=100.0, questions_most=10_000))
+    fast = interest(100, Parameters(lookups_per_s=100.0, max_open_lookups=10_000))
     asked = 0
     for n in range(10_000):  # in one second
         asked += fast.ask((DOOR, n), [f"h:{n}"], n * SECOND // 10_000).state is None
@@ -143,9 +143,9 @@
 @pytest.mark.parametrize("seed", range(30))
 def test_in_any_order_of_events_all_are_told_once_and_the_bounds_hold(seed: int) -> None:
     rng = Random(seed)
-    terms = Terms(lookups_per_s=1_000.0, questions_most=6, unknown_most=8)
+    parameters = Parameters(lookups_per_s=1_000.0, max_open_lookups=6, max_unknown_aliases=8)
     bound = rng.randrange(1, 8)
-    one = Interest(terms, 0, bound, 20 * SECOND)
+    one = Interest(parameters, 0, bound, 20 * SECOND)
     exists = {f"n:{n}": f"t{n}" for n in range(12)}
     lookups: list[tuple[str, ...]] = []
     waiting: set[tuple[str, int]] = set()
@@ -191,11 +191,11 @@
             chosen = one.to_give_up(now)
             assert not leaving & set(chosen)
             leaving |= set(chosen)
-        assert len(lookups) == one.lookups_open <= terms.questions_most
-        assert one.unknown_cached <= terms.unknown_most
+        assert len(lookups) == one.lookups_open <= parameters.max_open_lookups
+        assert one.unknown_cached <= parameters.max_unknown_aliases
         assert len(leaving) <= LEAVING_MOST
         # A lookup of two aliases may find two tenants.
-        assert len(one) <= bound + 2 * terms.questions_most
+        assert len(one) <= bound + 2 * parameters.max_open_lookups
     for aliases_of_one in lookups:
         for asker, _state in one.answered(aliases_of_one, None, now):
             waiting.remove(asker)
--- a/tests/distribution/test_moved.py
+++ b/tests/distribution/test_moved.py
@@ -11,10 +11,10 @@
     Resource,
     Rollout,
 )
+from tansywood.distribution.parameters import MS, Parameters
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.rollout import RolloutBoard
 from tansywood.distribution.source import Source
-from tansywood.distribution.terms import MS, Terms
 
 EPOCH = Epoch(1, b"a")
 BEFORE = Position(EPOCH, 1)
@@ -23,7 +23,7 @@
 def source() -> Source:
     replica = Replica(100, EPOCH, 1)
     replica.load([Resource("t1", 1, Kind.CONTENT, b"one")])
-    made = Source(replica, Terms(), 0, is_publisher=False)
+    made = Source(replica, Parameters(), 0, is_publisher=False)
     made.serving = True
     return made
 
@@ -104,7 +104,7 @@
     dead, alive = subscribed(left, "n1"), subscribed(here, "n1")
     for name, made in (("here", here), ("left", left)):
         board.connected(name)
-        made.report_again()
+        made.reset_report()
         report = made.report(MS)
         assert report is not None
         for other, names in board.joined(name, report.joined).items():
--- a/tests/distribution/test_reconnects.py
+++ b/tests/distribution/test_reconnects.py
@@ -8,20 +8,20 @@
 import pytest
 
 from tansywood.distribution.messages import Busy, Message
+from tansywood.distribution.parameters import MS, SECOND, Parameters
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.source import Source
 from tansywood.distribution.subscriber import Subscriber
-from tansywood.distribution.terms import MS, SECOND, Terms
 from tests.distribution.simulation import Condition, Simulation, most_in_a_window
 
 IN_FORCE = 4 * SECOND  # from a change until it is in force everywhere
-TERMS = Terms()
+PARAMETERS = Parameters()
 
 
-def in_force_after_a_silent_source(terms: Terms) -> int:
+def in_force_after_a_silent_source(parameters: Parameters) -> int:
     """Time until a change is in force at all subscribers, where a source goes silent as it comes,
     with nothing closed; more than IN_FORCE where that is not within it."""
-    simulation = Simulation(5, terms)
+    simulation = Simulation(5, parameters)
     simulation.add_subscribers(60)
     simulation.connect_all(SECOND)
     committed = simulation.now
@@ -36,15 +36,18 @@
 
 
 def test_a_change_is_in_force_within_4_s_where_a_source_goes_silent_at_that_moment() -> None:
-    assert in_force_after_a_silent_source(TERMS) <= IN_FORCE
+    assert in_force_after_a_silent_source(PARAMETERS) <= IN_FORCE
 
 
 def test_without_the_bound_on_silence_it_is_not() -> None:
-    assert in_force_after_a_silent_source(replace(TERMS, silence=60 * SECOND)) > IN_FORCE
+    assert (
+        in_force_after_a_silent_source(replace(PARAMETERS, silence_timeout_ns=60 * SECOND))
+        > IN_FORCE
+    )
 
 
-def losses_in_a_quiet_minute(terms: Terms) -> int:
-    simulation = Simulation(2, terms)
+def losses_in_a_quiet_minute(parameters: Parameters) -> int:
+    simulation = Simulation(2, parameters)
     simulation.add_subscribers(10)
     simulation.start()
     simulation.run(60 * SECOND)
@@ -52,11 +55,11 @@
 
 
 def test_heartbeats_keep_quiet_connections() -> None:
-    assert losses_in_a_quiet_minute(TERMS) == 0
+    assert losses_in_a_quiet_minute(PARAMETERS) == 0
 
 
 def test_without_heartbeats_quiet_connections_are_lost() -> None:
-    assert losses_in_a_quiet_minute(replace(TERMS, heartbeat=60 * SECOND)) > 0
+    assert losses_in_a_quiet_minute(replace(PARAMETERS, heartbeat_interval_ns=60 * SECOND)) > 0
 
 
 class QuietSource(Source):
@@ -64,7 +67,7 @@
 
     def tick(self, now: int) -> list[int]:
         for session in self.sessions.values():
-            session.told_age = now
+            session.last_heartbeat = now
         return super().tick(now)
 
 
@@ -72,7 +75,7 @@
     """Says no heartbeats; it hears those of others."""
 
     def tick(self, now: int) -> None:
-        self._said = now
+        self._last_sent = now
         super().tick(now)
 
 
@@ -82,16 +85,16 @@
 def test_heartbeats_of_one_side_alone_don_t_keep_a_connection(
     source_type: type[Source], subscriber_type: type[Subscriber]
 ) -> None:
-    simulation = Simulation(2, TERMS, source_type)
+    simulation = Simulation(2, PARAMETERS, source_type)
     simulation.add_subscribers(3, subscriber_type=subscriber_type)
     simulation.start()
     simulation.run(10 * SECOND)
     assert sum(subscriber.core.losses for subscriber in simulation.subscribers) >= 3
 
 
-def sessions_after_silence(terms: Terms) -> int:
+def sessions_after_silence(parameters: Parameters) -> int:
     """How many sessions of instances that went silent a source still has after 2 s."""
-    simulation = Simulation(1, terms)
+    simulation = Simulation(1, parameters)
     silent = simulation.add_subscribers(20)[:8]
     simulation.connect_all(0)
     for subscriber in silent:
@@ -103,11 +106,11 @@
 
 
 def test_instances_that_go_silent_are_left_by_their_source() -> None:
-    assert sessions_after_silence(TERMS) == 0
+    assert sessions_after_silence(PARAMETERS) == 0
 
 
 def test_without_the_bound_on_silence_they_stay() -> None:
-    assert sessions_after_silence(replace(TERMS, silence=60 * SECOND)) == 8
+    assert sessions_after_silence(replace(PARAMETERS, silence_timeout_ns=60 * SECOND)) == 8
 
 
 # ---- full jitter -----------------------------------------------------------------------------
@@ -167,8 +170,10 @@
 class AdmittingSource(Source):
     """Admits whoever comes, whenever."""
 
-    def __init__(self, replica: Replica, terms: Terms, now: int, is_publisher: bool) -> None:
-        super().__init__(replica, replace(terms, admit_burst=100_000), now, is_publisher)
+    def __init__(
+        self, replica: Replica, parameters: Parameters, now: int, is_publisher: bool
+    ) -> None:
+        super().__init__(replica, replace(parameters, admission_burst=100_000), now, is_publisher)
 
 
 class ImpatientSubscriber(Subscriber):
@@ -186,9 +191,9 @@
     subscriber_type: type[Subscriber] = Subscriber,
 ) -> Simulation:
     """A zone comes back at the moment at which a source dies; both know `sources` others."""
-    simulation = Simulation(sources, TERMS, source_type)
+    simulation = Simulation(sources, PARAMETERS, source_type)
     simulation.add_subscribers(ZONE + LOST, subscriber_type=subscriber_type)
-    simulation.start(TERMS.reconnect_first)
+    simulation.start(PARAMETERS.reconnect_backoff_base_ns)
     simulation.run(ALONE)
     return simulation
 
@@ -202,7 +207,7 @@
     for address in simulation.sources:
         admitted = [w.at for w in records.welcomes if w.address == address]
         for window in (100 * MS, SECOND, 3 * SECOND):
-            bound = TERMS.admit_burst + TERMS.admit_per_s * window / SECOND
+            bound = PARAMETERS.admission_burst + PARAMETERS.admissions_per_s * window / SECOND
             if most_in_a_window(admitted, window) > bound + 1:
                 broken.add("admits more than its bound")
     for refusal in records.refusals:
@@ -211,7 +216,7 @@
         again = [h.at for h in records.hellos if (h.name, h.address) == same and h.at > refusal.at]
         if again and min(again) < told:
             broken.add("comes before its time")
-        soon = told + TERMS.reconnect_first + 20 * MS
+        soon = told + PARAMETERS.reconnect_backoff_base_ns + 20 * MS
         if len(simulation.sources) == 1 and (not again or min(again) > soon):
             broken.add("does not come at its time")
     if len({w.name for w in records.welcomes}) < ZONE + LOST:
@@ -226,7 +231,7 @@
 def test_a_zone_and_a_dead_sources_instances_are_let_in_one_after_the_other() -> None:
     simulation = crowd(1)
     assert not broken_rules(simulation, ALONE)
-    assert len(simulation.records.refusals) >= ZONE + LOST - 2 * TERMS.admit_burst
+    assert len(simulation.records.refusals) >= ZONE + LOST - 2 * PARAMETERS.admission_burst
 
 
 def test_where_others_are_left_they_are_all_in_within_4_s() -> None:
--- a/tests/distribution/test_resources.py
+++ b/tests/distribution/test_resources.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from tansywood.distribution.messages import MAX_BODY, Kind
+from tansywood.distribution.messages import MAX_BODY_BYTES, Kind
 from tansywood.distribution.resources import ViewError, aliases_of, decode, encode
 from tests.tenancy.documents import document
 
@@ -38,8 +38,8 @@
 
 
 def test_a_view_over_its_size_is_refused_with_the_tenant_and_the_bound() -> None:
-    large = view(document=document("cork", note="x" * MAX_BODY))
-    with pytest.raises(ViewError, match=f"tenant u1: .* bytes, {MAX_BODY} at most"):
+    large = view(document=document("cork", note="x" * MAX_BODY_BYTES))
+    with pytest.raises(ViewError, match=f"tenant u1: .* bytes, {MAX_BODY_BYTES} at most"):
         encode("u1", 7, large)
 
 
--- a/tests/distribution/test_sealing.py
+++ b/tests/distribution/test_sealing.py
@@ -16,8 +16,8 @@
 
 from tansywood.distribution import stream as stream_module
 from tansywood.distribution.messages import Acknowledge, Message, MessageError, pack, unpack
-from tansywood.distribution.refusals import LOG_EVERY, REMEDIES, RefusalLog
-from tansywood.distribution.stream import LENGTH, MAX_SEALED, SealedStream
+from tansywood.distribution.refusals import LOG_INTERVAL_NS, REMEDIES, RefusalLog
+from tansywood.distribution.stream import FRAME_LENGTH, MAX_SEALED_BYTES, SealedStream
 from tansywood.fleet import seal as seal_module
 from tansywood.fleet.messages import LIFE
 from tansywood.fleet.seal import Seal, SealError
@@ -105,7 +105,7 @@
 
 
 def frame(data: bytes) -> bytes:
-    return LENGTH.pack(len(data)) + data
+    return FRAME_LENGTH.pack(len(data)) + data
 
 
 # ---- attacks: each returns the receiving end once it has read what was made -------------------
@@ -146,7 +146,7 @@
 
 def oversize(connector: bool) -> End:
     pair = Pair(connector)
-    pair.receiver.hear(LENGTH.pack(MAX_SEALED + 1))
+    pair.receiver.hear(FRAME_LENGTH.pack(MAX_SEALED_BYTES + 1))
     return pair.receiver
 
 
@@ -205,7 +205,7 @@
 @pytest.mark.parametrize("connector", [True, False])
 def test_no_byte_of_a_frame_can_be_altered(connector: bool) -> None:
     length = len(Pair(connector).say())
-    for place in range(LENGTH.size, length):
+    for place in range(FRAME_LENGTH.size, length):
         pair = Pair(connector)
         data = bytearray(pair.say())
         data[place] ^= 0x40
@@ -227,7 +227,7 @@
 class OpenStream(SealedStream):
     """Takes what is not sealed."""
 
-    def _open(self, data: bytes) -> None:
+    def _open_frame(self, data: bytes) -> None:
         assert self._seal is not None
         try:
             _, body = self._seal.open(data)
@@ -264,7 +264,7 @@
         (seal_module._Window, "fresh", lambda _self, _counter: True),
         {"said twice"},
     ),
-    "the length": ((stream_module, "MAX_SEALED", 1 << 32), {"oversize"}),
+    "the length": ((stream_module, "MAX_SEALED_BYTES", 1 << 32), {"oversize"}),
     "seals": (
         (stream_module, "SealedStream", OpenStream),
         {"another key", "another fleet", "altered", "unsealed", "said twice", "recorded"},
@@ -296,9 +296,9 @@
     lines: list[str] = []
     log = RefusalLog(lines.append)
     for number in range(1, 1001):
-        log.refused("stranger", number, "10.1.2.3:4567", REMEDIES["stranger"], number)
-    log.refused("forged", 1, "10.1.2.4:1", "another fleet's", 2_000)
-    log.refused("stranger", 1001, "10.1.2.5:1", "again", LOG_EVERY + 1)
+        log.record("stranger", number, "10.1.2.3:4567", REMEDIES["stranger"], number)
+    log.record("forged", 1, "10.1.2.4:1", "another fleet's", 2_000)
+    log.record("stranger", 1001, "10.1.2.5:1", "again", LOG_INTERVAL_NS + 1)
     assert [line.split(",")[0] for line in lines] == [
         "refused (stranger",
         "refused (forged",
--- a/tests/distribution/test_sockets.py
+++ b/tests/distribution/test_sockets.py
@@ -12,6 +12,7 @@
 from tansywood.distribution.client import SubscriberClient, dial
 from tansywood.distribution.distributor import Distributor
 from tansywood.distribution.messages import Epoch, Kind, Position, Resource, alias_of_host
+from tansywood.distribution.parameters import MS, SECOND, Parameters
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.server import SourceServer
 from tansywood.distribution.source import Source
@@ -22,11 +23,15 @@
     Apply,
     Subscriber,
 )
-from tansywood.distribution.terms import MS, SECOND, Terms
 from windrelay.config import Address
 
 KEY = bytes(range(32))
-TERMS = Terms(heartbeat=50 * MS, silence=400 * MS, reconnect_first=20 * MS, reconnect_most=80 * MS)
+PARAMETERS = Parameters(
+    heartbeat_interval_ns=50 * MS,
+    silence_timeout_ns=400 * MS,
+    reconnect_backoff_base_ns=20 * MS,
+    max_reconnect_backoff_ns=80 * MS,
+)
 LOCAL = Address("127.0.0.1", 0)
 
 
@@ -42,16 +47,16 @@
     """A source whose changes a test makes."""
 
     def __init__(self, epoch: Epoch, parent: Position | None = None) -> None:
-        self.replica = Replica(TERMS.window, epoch)
+        self.replica = Replica(PARAMETERS.max_resumable_changes, epoch)
         if parent is not None:
             self.replica.begin_epoch(epoch, parent)
-        self.source = Source(self.replica, TERMS, time.monotonic_ns(), is_publisher=True)
+        self.source = Source(self.replica, PARAMETERS, time.monotonic_ns(), is_publisher=True)
         self.server = SourceServer(self.source, keys, "fleet")
 
     def change(self, uid: str, revision: int, body: bytes) -> None:
         self.replica.commit(resource(uid, revision, body))
         self.source.changed(uid, revision, time.monotonic_ns())
-        self.server.pump()
+        self.server.flush()
 
 
 @dataclass
@@ -79,8 +84,8 @@
         elif isinstance(action, Answer):
             answers[action.question] = action.uids
 
-    replica = Replica(TERMS.window)
-    subscriber = Subscriber(name, addresses, replica, TERMS, Random(1), time.monotonic_ns())
+    replica = Replica(PARAMETERS.max_resumable_changes)
+    subscriber = Subscriber(name, addresses, replica, PARAMETERS, Random(1), time.monotonic_ns())
     client = SubscriberClient(subscriber, keys, "fleet", handle)
     client.start()
     return Follower(client, answers)
@@ -98,7 +103,7 @@
     publisher.change("t1", 1, b"one")
     publisher.change("t2", 2, b"two")
     at = await publisher.server.start(LOCAL)
-    distributor = Distributor("d1", (f"{at.host}:{at.port}",), keys, "fleet", TERMS, Random(2))
+    distributor = Distributor("d1", (f"{at.host}:{at.port}",), keys, "fleet", PARAMETERS, Random(2))
     below = await distributor.start(LOCAL)
     follower = instance("i1", [f"{below.host}:{below.port}"])
     try:
@@ -143,12 +148,12 @@
                 await answers.wait()
             return await dial(address, made)
 
-        terms = replace(TERMS, attempt_delay=20 * MS, dial=60 * SECOND)
+        parameters = replace(PARAMETERS, attempt_delay_ns=20 * MS, dial_timeout_ns=60 * SECOND)
         subscriber = Subscriber(
             "i1",
             addresses,
-            Replica(TERMS.window),
-            terms,
+            Replica(PARAMETERS.max_resumable_changes),
+            parameters,
             Random(1),
             time.monotonic_ns(),
         )
--- a/tests/distribution/test_source.py
+++ b/tests/distribution/test_source.py
@@ -9,10 +9,10 @@
     Busy,
     Changes,
     Epoch,
-    Found,
     Hello,
     Kind,
     Lookup,
+    LookupResult,
     Message,
     Position,
     Progress,
@@ -23,13 +23,25 @@
     Welcome,
     alias_of_host,
 )
+from tansywood.distribution.parameters import MS, SECOND, Parameters
 from tansywood.distribution.replica import Replica
-from tansywood.distribution.source import COME_BACK_MOST, CONTROL_MOST, STALE, ProtocolError, Source
-from tansywood.distribution.terms import MS, SECOND, Terms
+from tansywood.distribution.source import (
+    MAX_CONTROL_MESSAGES,
+    MAX_RETRY_AFTER_NS,
+    STALE_REASON,
+    ProtocolError,
+    Source,
+)
 
 EPOCH = Epoch(1, b"a")
 NOW = SECOND
-TERMS = Terms(admit_per_s=10, admit_burst=2, lookups_per_s=5, away=SECOND, batch_bytes=100)
+PARAMETERS = Parameters(
+    admissions_per_s=10,
+    admission_burst=2,
+    lookups_per_s=5,
+    departed_retention_ns=SECOND,
+    max_batch_bytes=100,
+)
 
 
 def content(uid: str, revision: int, body: bytes = b"body") -> Resource:
@@ -39,11 +51,11 @@
 class Bench:
     """A publisher's source with three tenants, and its sessions."""
 
-    def __init__(self, terms: Terms = TERMS) -> None:
-        self.replica = Replica(terms.window, EPOCH)
+    def __init__(self, parameters: Parameters = PARAMETERS) -> None:
+        self.replica = Replica(parameters.max_resumable_changes, EPOCH)
         for revision, uid in enumerate(("t1", "t2", "t3"), 1):
             self.replica.commit(content(uid, revision))
-        self.source = Source(self.replica, terms, NOW, is_publisher=True)
+        self.source = Source(self.replica, parameters, NOW, is_publisher=True)
 
     def hello(self, name: str, now: int = NOW, *subscriptions: str) -> int:
         number = self.source.opened(now)
@@ -76,7 +88,7 @@
     bench = Bench()
     answers = [bench.told(bench.hello(f"n{i}"))[0] for i in range(200)]
     waits = [answer.retry_after_ms for answer in answers if isinstance(answer, Busy)]
-    assert max(waits) <= COME_BACK_MOST // MS + 1
+    assert max(waits) <= MAX_RETRY_AFTER_NS // MS + 1
 
 
 def test_a_slow_subscriber_has_one_place_for_each_resource_and_gets_the_latest() -> None:
@@ -112,15 +124,15 @@
     bench.told(number)
     for question in range(8):
         bench.source.received(number, NOW, Lookup(question, [alias_of_host("t1")]))
-    assert [type(m) for m in bench.told(number)] == [Found] * 5
+    assert [type(m) for m in bench.told(number)] == [LookupResult] * 5
 
 
 def test_answers_that_wait_are_bounded() -> None:
-    bench = Bench(Terms(lookups_per_s=1e6))
+    bench = Bench(Parameters(lookups_per_s=1e6))
     number = bench.hello("n")
-    for question in range(2 * CONTROL_MOST):
+    for question in range(2 * MAX_CONTROL_MESSAGES):
         bench.source.received(number, NOW, Lookup(question, [alias_of_host("t1")]))
-    assert len(bench.source.sessions[number].control) == CONTROL_MOST
+    assert len(bench.source.sessions[number].control) == MAX_CONTROL_MESSAGES
 
 
 def test_what_is_found_and_has_no_room_follows_by_itself() -> None:
@@ -131,7 +143,7 @@
     bench.told(number)
     bench.source.received(number, NOW, Lookup(1, [alias_of_host("t1"), alias_of_host("t2")]))
     found, rest = bench.told(number)
-    assert isinstance(found, Found) and isinstance(rest, Changes)
+    assert isinstance(found, LookupResult) and isinstance(rest, Changes)
     assert found.uids == ["t1", "t2"]
     assert [r.uid for r in found.resources] == ["t1"]
     assert [r.uid for r in rest.resources] == ["t2"]
@@ -140,7 +152,7 @@
 def test_a_second_session_of_a_name_ends_the_first() -> None:
     bench = Bench()
     first, second = bench.hello("n", NOW, "t1"), bench.hello("n", NOW, "t1")
-    assert bench.source.sessions[first].ends and not bench.source.sessions[second].ends
+    assert bench.source.sessions[first].closing and not bench.source.sessions[second].closing
     bench.source.received(second, NOW, Acknowledge(3))
     bench.change("t1", 4, b"")
     assert bench.source.rollout("t1", 4).waiting == 1
@@ -157,7 +169,7 @@
     assert bench.source.rollout("t1", 4).lagging == ["a", "b"]
     bench.source.moved(["a"])
     assert bench.source.rollout("t1", 4).lagging == ["b"]
-    bench.source.tick(NOW + TERMS.away)
+    bench.source.tick(NOW + PARAMETERS.departed_retention_ns)
     assert bench.source.rollout("t1", 4).waiting == 0
 
 
@@ -196,7 +208,7 @@
     second = bench.source.report(NOW)
     assert second is not None and second.rows[0].have == 1 and second.joined == []
     assert bench.source.report(NOW) is None
-    bench.source.report_again()
+    bench.source.reset_report()
     third = bench.source.report(NOW)
     assert third is not None and third.rows == second.rows and third.joined == ["n"]
 
@@ -205,9 +217,9 @@
     bench = Bench()
     number = bench.hello("n")
     bench.told(number)
-    assert bench.source.tick(NOW + TERMS.heartbeat) == []
-    assert bench.told(number, NOW + TERMS.heartbeat) == [Progress(3, whole=True)]
-    assert bench.source.tick(NOW + TERMS.silence) == [number]
+    assert bench.source.tick(NOW + PARAMETERS.heartbeat_interval_ns) == []
+    assert bench.told(number, NOW + PARAMETERS.heartbeat_interval_ns) == [Progress(3, whole=True)]
+    assert bench.source.tick(NOW + PARAMETERS.silence_timeout_ns) == [number]
 
 
 @pytest.mark.parametrize("message", [Versions([]), Progress(1)])
@@ -245,9 +257,9 @@
 
 
 def test_one_that_wants_a_source_that_hears_the_publisher_is_told_where_it_does_not() -> None:
-    replica = Replica(TERMS.window, EPOCH, 1)
-    terms = Terms(admit_per_s=1, admit_burst=1)
-    source = Source(replica, terms, NOW, is_publisher=False)
+    replica = Replica(PARAMETERS.max_resumable_changes, EPOCH, 1)
+    parameters = Parameters(admissions_per_s=1, admission_burst=1)
+    source = Source(replica, parameters, NOW, is_publisher=False)
     source.serving = True
 
     def answer(name: str, only_fresh: bool, now: int) -> Message | None:
@@ -256,11 +268,11 @@
         source.received(number, now, hello)
         return source.next_message(number, now)
 
-    stale = NOW + terms.stale
+    stale = NOW + parameters.stale_after_ns
     for _ in range(5):  # none of these is an admission
-        assert answer("n1", True, stale) == Busy(0, STALE)
+        assert answer("n1", True, stale) == Busy(0, STALE_REASON)
     assert isinstance(answer("n1", False, stale), Welcome)
-    source.publisher_heard(stale + SECOND)
+    source.note_publisher_heard(stale + SECOND)
     assert isinstance(answer("n2", True, stale + SECOND), Welcome)
 
 
@@ -295,13 +307,13 @@
 def test_where_a_restored_history_lacks_later_changes_what_they_stood_for_is_sent() -> None:
     """`t2` changed at 17 and again at 20: a reader that was told all but it up to 18 stands at
     18, and the history that goes on from 18 has the state of 17."""
-    replica = Replica(TERMS.window, Epoch(2, b"b"), 18)
+    replica = Replica(PARAMETERS.max_resumable_changes, Epoch(2, b"b"), 18)
     replica.load([content("t1", 16), content("t2", 17)])
     replica.set_floor(10)
     replica.record(16, "t1")
     replica.record(17, "t2")
     replica.begin_epoch(Epoch(2, b"b"), Position(EPOCH, 18))
-    source = Source(replica, TERMS, NOW, is_publisher=True)
+    source = Source(replica, PARAMETERS, NOW, is_publisher=True)
 
     def sent(everything: bool, whole: int) -> list[str]:
         number = source.opened(NOW)
--- a/tests/distribution/test_stalls.py
+++ b/tests/distribution/test_stalls.py
@@ -20,14 +20,14 @@
     Versions,
     Welcome,
 )
+from tansywood.distribution.parameters import MS, SECOND, Parameters
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.server import SourceServer
 from tansywood.distribution.source import Source
 from tansywood.distribution.subscriber import Subscriber
-from tansywood.distribution.terms import MS, SECOND, Terms
 from windrelay.config import Address
 
-SHORT = Terms(heartbeat=50 * MS, silence=400 * MS)
+SHORT = Parameters(heartbeat_interval_ns=50 * MS, silence_timeout_ns=400 * MS)
 STANDSTILL_S = 0.7  # longer than the short silence
 
 
@@ -47,9 +47,11 @@
         return 0
 
 
-def subscriber_of(address: str, terms: Terms) -> Subscriber:
+def subscriber_of(address: str, parameters: Parameters) -> Subscriber:
     now = time.monotonic_ns()
-    return Subscriber("i1", [address], Replica(terms.window), terms, Random(1), now)
+    return Subscriber(
+        "i1", [address], Replica(parameters.max_resumable_changes), parameters, Random(1), now
+    )
 
 
 def test_the_timer_rings_while_messages_come_without_a_pause() -> None:
@@ -73,7 +75,7 @@
         source = Source(Replica(1, Epoch(1, b"a")), SHORT, time.monotonic_ns(), is_publisher=True)
         server = SourceServer(source, keys, "fleet")
         at = await server.start(Address("127.0.0.1", 0))
-        patient = Terms(heartbeat=50 * MS, silence=60 * SECOND)
+        patient = Parameters(heartbeat_interval_ns=50 * MS, silence_timeout_ns=60 * SECOND)
         subscriber = subscriber_of(f"{at.host}:{at.port}", patient)
         client = SubscriberClient(subscriber, keys, "fleet", lambda _action: None)
         client.start()
@@ -95,10 +97,10 @@
 
 
 def test_few_compare_everything_at_a_time_and_the_others_come_again() -> None:
-    terms = Terms(fetches=2)
-    replica = Replica(terms.window, Epoch(1, b"a"))
+    parameters = Parameters(max_full_comparisons=2)
+    replica = Replica(parameters.max_resumable_changes, Epoch(1, b"a"))
     replica.commit(Resource("t1", 1, Kind.CONTENT, b"body", []))
-    source = Source(replica, terms, 0, is_publisher=True)
+    source = Source(replica, parameters, 0, is_publisher=True)
 
     def hello(name: str) -> tuple[int, Message | None]:
         number = source.opened(0)
@@ -116,15 +118,15 @@
 
 
 def test_the_publishers_age_is_told_each_heartbeat_whatever_else_is_said() -> None:
-    terms = Terms()
-    replica = Replica(terms.window, Epoch(1, b"a"))
+    parameters = Parameters()
+    replica = Replica(parameters.max_resumable_changes, Epoch(1, b"a"))
     replica.commit(Resource("t1", 1, Kind.CONTENT, b"body", []))
-    source = Source(replica, terms, 0, is_publisher=True)
+    source = Source(replica, parameters, 0, is_publisher=True)
     number = source.opened(0)
     source.received(number, 0, Hello("d1", everything=True, position=replica.position))
     assert isinstance(said(source, number), Welcome)
     told = []
-    between = terms.heartbeat // 3
+    between = parameters.heartbeat_interval_ns // 3
     for revision in range(2, 20):
         now = revision * between
         replica.commit(Resource("t1", revision, Kind.CONTENT, b"body", []))
@@ -132,16 +134,16 @@
         while (message := source.next_message(number, now)) is not None:
             told.append((now, message))
     ages = [at for at, message in told if isinstance(message, Progress)]
-    assert max(b - a for a, b in pairwise(ages)) <= terms.heartbeat + between
+    assert max(b - a for a, b in pairwise(ages)) <= parameters.heartbeat_interval_ns + between
     assert sum(isinstance(message, Changes) for _, message in told) == 18
 
 
 def test_one_that_holds_nothing_is_sent_all_there_is_in_the_order_of_the_last_changes() -> None:
-    terms = Terms(batch_bytes=1)  # one resource a message
-    replica = Replica(terms.window, Epoch(1, b"a"))
+    parameters = Parameters(max_batch_bytes=1)  # one resource a message
+    replica = Replica(parameters.max_resumable_changes, Epoch(1, b"a"))
     for revision in range(1, 7):
         replica.commit(Resource(f"t{revision}", revision, Kind.CONTENT, b"body"))
-    source = Source(replica, terms, 0, is_publisher=True)
+    source = Source(replica, parameters, 0, is_publisher=True)
 
     def change(uid: str, revision: int, kind: Kind) -> None:
         replica.commit(Resource(uid, revision, kind, b"changed" if kind is Kind.CONTENT else b""))
--- a/tests/distribution/test_stream.py
+++ b/tests/distribution/test_stream.py
@@ -26,24 +26,24 @@
     pack,
     unpack,
 )
+from tansywood.distribution.parameters import MS, SECOND, Parameters
 from tansywood.distribution.refusals import REMEDIES
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.server import SourceServer
 from tansywood.distribution.source import Source
-from tansywood.distribution.stream import LENGTH, MAX_SEALED
-from tansywood.distribution.terms import MS, SECOND, Terms
+from tansywood.distribution.stream import FRAME_LENGTH, MAX_SEALED_BYTES
 from tansywood.fleet.messages import LIFE
 from tansywood.fleet.seal import Seal
 from windrelay.config import Address
 
 KEY, OTHER_KEY = bytes(range(32)), bytes(32)
 FLEET = "fleet"
-TERMS = Terms(heartbeat=20 * MS, silence=60 * SECOND)
+PARAMETERS = Parameters(heartbeat_interval_ns=20 * MS, silence_timeout_ns=60 * SECOND)
 LIMIT_S = 20.0  # a hang, not a measure
 
 
 def frame(data: bytes) -> bytes:
-    return LENGTH.pack(len(data)) + data
+    return FRAME_LENGTH.pack(len(data)) + data
 
 
 @dataclass
@@ -65,7 +65,7 @@
 
     async def hear(self) -> Message:
         async with asyncio.timeout(LIMIT_S):
-            (length,) = LENGTH.unpack(await self.reader.readexactly(LENGTH.size))
+            (length,) = FRAME_LENGTH.unpack(await self.reader.readexactly(FRAME_LENGTH.size))
             return unpack(self.seal.open(await self.reader.readexactly(length))[1])
 
     async def ended(self) -> None:
@@ -80,9 +80,9 @@
     """A source that listens, and an honest connection to it."""
 
     def __init__(self) -> None:
-        replica = Replica(TERMS.window, Epoch(1, b"a"))
+        replica = Replica(PARAMETERS.max_resumable_changes, Epoch(1, b"a"))
         replica.commit(Resource("t1", 1, Kind.CONTENT, b"one"))
-        self.source = Source(replica, TERMS, time.monotonic_ns(), is_publisher=True)
+        self.source = Source(replica, PARAMETERS, time.monotonic_ns(), is_publisher=True)
         self.log: list[str] = []
         self.server = SourceServer(self.source, lambda: [KEY], FLEET, log=self.log.append)
         self.at = Address("127.0.0.1", 0)
@@ -159,7 +159,7 @@
 
 async def oversize(listener: Listener) -> Raw:
     raw = await listener.connect()
-    raw.send(LENGTH.pack(MAX_SEALED + 1))
+    raw.send(FRAME_LENGTH.pack(MAX_SEALED_BYTES + 1))
     return raw
 
 
--- a/tests/distribution/test_subscriber.py
+++ b/tests/distribution/test_subscriber.py
@@ -11,10 +11,10 @@
     Busy,
     Changes,
     Epoch,
-    Found,
     Hello,
     Kind,
     Lookup,
+    LookupResult,
     Message,
     Position,
     Progress,
@@ -23,12 +23,20 @@
     Unsubscribe,
     Welcome,
 )
+from tansywood.distribution.parameters import MS, SECOND, Parameters
 from tansywood.distribution.replica import Replica
-from tansywood.distribution.source import STALE
-from tansywood.distribution.subscriber import Answer, Apply, Dial, HangUp, Link, Send, Subscriber
-from tansywood.distribution.terms import MS, SECOND, Terms
+from tansywood.distribution.source import STALE_REASON
+from tansywood.distribution.subscriber import (
+    Answer,
+    Apply,
+    Dial,
+    Disconnect,
+    Link,
+    Send,
+    Subscriber,
+)
 
-TERMS = Terms()
+PARAMETERS = Parameters()
 SOURCES = [f"10.0.0.{n}:1" for n in range(15)]
 EPOCH = Epoch(5, b"e")
 WELCOME = Welcome(Position(EPOCH, 10), compare=True)
@@ -40,7 +48,7 @@
     def __init__(self, name: str = "n", addresses: list[str] | None = None) -> None:
         self.now = SECOND
         self.subscriber = Subscriber(
-            name, addresses or SOURCES[:3], Replica(10), TERMS, Random(name), self.now
+            name, addresses or SOURCES[:3], Replica(10), PARAMETERS, Random(name), self.now
         )
         self.dialled: list[str] = []
 
@@ -73,7 +81,7 @@
 
 def test_the_subscribers_of_a_lost_source_spread_over_all_others() -> None:
     names = [f"node-{n}" for n in range(3_600)]
-    subscribers = [Subscriber(n, SOURCES, Replica(1), TERMS, Random(n), 0) for n in names]
+    subscribers = [Subscriber(n, SOURCES, Replica(1), PARAMETERS, Random(n), 0) for n in names]
     lost = [s for s in subscribers if s.dialing.addresses[0] == SOURCES[0]][:240]
     assert len(lost) > 200
     shares = Counter(s.dialing.addresses[1] for s in lost)
@@ -87,8 +95,8 @@
         follower.connect()
         follower.subscriber.disconnected(follower.subscriber.attempt, follower.now)
         waits.append(follower.subscriber.next_due() - follower.now)
-    tenths = Counter(wait * 10 // TERMS.reconnect_first for wait in waits)
-    assert max(waits) <= TERMS.reconnect_first
+    tenths = Counter(wait * 10 // PARAMETERS.reconnect_backoff_base_ns for wait in waits)
+    assert max(waits) <= PARAMETERS.reconnect_backoff_base_ns
     assert max(tenths.values()) <= 48 and len(tenths) >= 10
 
 
@@ -105,7 +113,9 @@
             wait = follower.subscriber.next_due() - follower.now
             bounds[failures] = max(bounds[failures], wait)
     for failures in range(6):
-        most = min(TERMS.reconnect_first << failures, TERMS.reconnect_most)
+        most = min(
+            PARAMETERS.reconnect_backoff_base_ns << failures, PARAMETERS.max_reconnect_backoff_ns
+        )
         assert 0.9 * most < bounds[failures] <= most
 
 
@@ -127,10 +137,13 @@
 def test_a_source_that_is_silent_is_left() -> None:
     follower = Follower()
     follower.connect()
-    follower.wait(TERMS.silence - MS)
+    follower.wait(PARAMETERS.silence_timeout_ns - MS)
     assert follower.subscriber.link is Link.UP
     heartbeats = [m for m in follower.said() if isinstance(m, Acknowledge)]
-    assert len(heartbeats) >= 1 + (TERMS.silence - MS) // TERMS.heartbeat
+    assert (
+        len(heartbeats)
+        >= 1 + (PARAMETERS.silence_timeout_ns - MS) // PARAMETERS.heartbeat_interval_ns
+    )
     follower.wait(MS)
     assert follower.subscriber.losses == 1 and "silent" in follower.subscriber.last_loss
 
@@ -155,7 +168,7 @@
     assert len(left) % 2 == 0
     rounds = list(zip(left[::2], left[1::2], strict=True))
     assert rounds[0][0] - begin < SECOND
-    assert all(second - first < TERMS.reconnect_most for first, second in rounds)
+    assert all(second - first < PARAMETERS.max_reconnect_backoff_ns for first, second in rounds)
     gaps = [round((b - a) / SECOND) for a, b in pairwise(first for first, _ in rounds)]
     assert gaps == [5, 10, 20, 40]
     assert only_fresh == [False, *[True, True] * len(rounds)]
@@ -168,17 +181,17 @@
     follower.said()
     asked: list[bool] = []
     while asked[-1:] != [False]:
-        follower.connect(Busy(0, STALE))
+        follower.connect(Busy(0, STALE_REASON))
         asked += [m.only_fresh for m in follower.said() if isinstance(m, Hello)]
-    assert asked == [True] * TERMS.stale_tries + [False]
+    assert asked == [True] * PARAMETERS.max_stale_switches + [False]
 
 
 def test_a_fresh_source_is_never_left() -> None:
     follower = Follower()
     follower.connect()
     for _ in range(100):
-        follower.hears(Progress(10, age_ms=TERMS.stale // MS - 1))
-        follower.wait(TERMS.heartbeat)
+        follower.hears(Progress(10, age_ms=PARAMETERS.stale_after_ns // MS - 1))
+        follower.wait(PARAMETERS.heartbeat_interval_ns)
     assert follower.subscriber.losses == 0
 
 
@@ -189,7 +202,7 @@
     follower.subscriber.actions.clear()
     follower.connect(Welcome(Position(Epoch(4, b"d"), 99)))
     assert follower.subscriber.link is Link.DOWN
-    assert [a for a in follower.subscriber.actions if isinstance(a, HangUp)]
+    assert [a for a in follower.subscriber.actions if isinstance(a, Disconnect)]
     assert follower.subscriber.replica.epoch == EPOCH
 
 
@@ -208,13 +221,13 @@
     None
 ):
     follower = Follower(addresses=SOURCES)
-    follower.wait(TERMS.attempt_delay - MS)
+    follower.wait(PARAMETERS.attempt_delay_ns - MS)
     assert len(dials_of(follower)) == 1
     follower.wait(MS)
     first, second = dials_of(follower)
     assert first.address != second.address
     follower.subscriber.connected(second.attempt, follower.now)
-    assert [a.attempt for a in follower.subscriber.actions if isinstance(a, HangUp)] == [
+    assert [a.attempt for a in follower.subscriber.actions if isinstance(a, Disconnect)] == [
         first.attempt
     ]
     assert follower.subscriber.address == second.address
@@ -229,7 +242,7 @@
 
 def test_a_dial_that_fails_beside_another_leaves_that_one_alone() -> None:
     follower = Follower(addresses=SOURCES)
-    follower.wait(TERMS.attempt_delay)
+    follower.wait(PARAMETERS.attempt_delay_ns)
     first, second = dials_of(follower)
     follower.subscriber.disconnected(first.attempt, follower.now, "refused")
     assert link_of(follower) is Link.DIALING
@@ -245,21 +258,21 @@
     while follower.now < end:
         follower.wait(MS)
         for dial in dials_of(follower):
-            open_until.append(follower.now + TERMS.dial)
+            open_until.append(follower.now + PARAMETERS.dial_timeout_ns)
             open_until = [until for until in open_until if until > follower.now]
             all_tried = len(set(follower.dialled)) == len(SOURCES)
             most[all_tried] = max(most[all_tried], len(open_until))
             assert dial.address in SOURCES
         follower.subscriber.actions.clear()
-    assert most[False] == -(-TERMS.dial // TERMS.attempt_delay)
+    assert most[False] == -(-PARAMETERS.dial_timeout_ns // PARAMETERS.attempt_delay_ns)
     assert most[True] <= most[False]
     late = [a for a in follower.dialled[2 * len(SOURCES) :]]
-    assert len(late) <= 20 * SECOND // TERMS.dial
+    assert len(late) <= 20 * SECOND // PARAMETERS.dial_timeout_ns
 
 
 def test_one_source_alone_is_dialled_once_at_a_time() -> None:
     follower = Follower(addresses=SOURCES[:1])
-    follower.wait(TERMS.dial - MS)
+    follower.wait(PARAMETERS.dial_timeout_ns - MS)
     assert len(dials_of(follower)) == 1
 
 
@@ -267,7 +280,7 @@
     follower = Follower(addresses=SOURCES)
     follower.wait(0)
     follower.subscriber.connected(follower.subscriber.attempt, follower.now)
-    follower.wait(TERMS.dial)
+    follower.wait(PARAMETERS.dial_timeout_ns)
     assert follower.subscriber.losses == 1 and "no welcome" in follower.subscriber.last_loss
 
 
@@ -276,7 +289,7 @@
     follower.subscriber.lookup([f"n:{uid}"], follower.now)
     serial = [m for m in follower.said() if isinstance(m, Lookup)][-1].question
     state = Resource(uid, revision, Kind.CONTENT, b"body")
-    follower.hears(Found(serial, [uid], [state], 10))
+    follower.hears(LookupResult(serial, [uid], [state], 10))
     for action in list(follower.subscriber.actions):
         if isinstance(action, Apply):
             follower.subscriber.applied(action.batch, follower.now)
@@ -288,15 +301,15 @@
     holding(follower, "t", 5)
     late = follower.subscriber.lookup(["n:other-name-of-t"], follower.now)
     serial = [m for m in follower.said() if isinstance(m, Lookup)][-1].question
-    follower.subscriber.give_up(["t"], follower.now)
+    follower.subscriber.unsubscribe(["t"], follower.now)
     assert Unsubscribe(["t"]) in follower.said()
     state = Resource("t", 11, Kind.CONTENT, b"new")
-    follower.hears(Changes([state], 11), Found(serial, ["t"], [state], 11))
+    follower.hears(Changes([state], 11), LookupResult(serial, ["t"], [state], 11))
     assert not follower.subscriber.replica.entries
     assert not [a for a in follower.subscriber.actions if isinstance(a, Answer)]
-    follower.wait(TERMS.ask_again)
+    follower.wait(PARAMETERS.lookup_retry_delay_ns)
     again = [m for m in follower.said() if isinstance(m, Lookup)][-1].question
-    follower.hears(Found(again, ["t"], [state], 11))
+    follower.hears(LookupResult(again, ["t"], [state], 11))
     assert Answer(late, ("t",)) in follower.subscriber.actions
 
 
@@ -304,10 +317,10 @@
     follower = Follower()
     follower.connect()
     holding(follower, "t", 9)
-    follower.subscriber.give_up(["t"], follower.now)
+    follower.subscriber.unsubscribe(["t"], follower.now)
     follower.subscriber.lookup(["n:t"], follower.now)
     serial = [m for m in follower.said() if isinstance(m, Lookup)][-1].question
-    follower.hears(Found(serial, ["t"], [Resource("t", 4, Kind.CONTENT, b"old")], 6))
+    follower.hears(LookupResult(serial, ["t"], [Resource("t", 4, Kind.CONTENT, b"old")], 6))
     assert not follower.subscriber.replica.entries
 
 
@@ -315,16 +328,16 @@
     follower = Follower()
     follower.connect()
     holding(follower, "t", 9)
-    follower.subscriber.give_up(["t"], follower.now)
+    follower.subscriber.unsubscribe(["t"], follower.now)
     follower.subscriber.lookup(["n:t"], follower.now)
     serial = [m for m in follower.said() if isinstance(m, Lookup)][-1].question
-    follower.hears(Found(serial, ["t"], [Resource("t", 4, Kind.CONTENT, b"old")], 6))
+    follower.hears(LookupResult(serial, ["t"], [Resource("t", 4, Kind.CONTENT, b"old")], 6))
     assert follower.subscriber.subscriptions == {"t"}
     another = Position(Epoch(6, b"f"), 6)
     follower.hears(Welcome(another, compare=True, parent=Position(EPOCH, 6)))
     assert [m for m in follower.said() if isinstance(m, Unsubscribe)] == [Unsubscribe(["t"])]
     assert not follower.subscriber.subscriptions
-    follower.wait(TERMS.ask_again)
+    follower.wait(PARAMETERS.lookup_retry_delay_ns)
     assert [m for m in follower.said() if isinstance(m, Lookup)]
 
 
@@ -347,7 +360,7 @@
     """Ask for a tenant and get it; returns the batch in which it is put into force."""
     follower.subscriber.lookup([f"n:{uid}"], follower.now)
     serial = [m for m in follower.said() if isinstance(m, Lookup)][-1].question
-    follower.hears(Found(serial, [uid], [Resource(uid, 5, Kind.CONTENT, b"body")], 10))
+    follower.hears(LookupResult(serial, [uid], [Resource(uid, 5, Kind.CONTENT, b"body")], 10))
     (apply,) = (a for a in follower.subscriber.actions if isinstance(a, Apply))
     return apply.batch
 
@@ -361,7 +374,7 @@
     follower.connect()
     follower.hears(Progress(10))
     batch = finding(follower, "t")
-    follower.wait(TERMS.heartbeat)
+    follower.wait(PARAMETERS.heartbeat_interval_ns)
     assert acknowledged(follower) == [(10, 0)]
     follower.subscriber.applied(batch, follower.now)
     assert acknowledged(follower) == [(10, 1)]
@@ -373,7 +386,7 @@
     follower.hears(Progress(10))
     follower.subscriber.lookup(["n:t", "n:u"], follower.now)
     follower.said()
-    follower.hears(Found(1, ["t", "u"], [Resource("t", 5, Kind.CONTENT, b"body")], 10))
+    follower.hears(LookupResult(1, ["t", "u"], [Resource("t", 5, Kind.CONTENT, b"body")], 10))
     (first,) = (a for a in follower.subscriber.actions if isinstance(a, Apply))
     follower.subscriber.applied(first.batch, follower.now)
     assert not acknowledged(follower)
--- a/tests/distribution/test_turns.py
+++ b/tests/distribution/test_turns.py
@@ -9,11 +9,11 @@
 
 from tansywood.distribution.client import SubscriberClient
 from tansywood.distribution.messages import Acknowledge, Changes, Epoch, Message
+from tansywood.distribution.parameters import Parameters
 from tansywood.distribution.replica import Replica
-from tansywood.distribution.server import TURN_MESSAGES, SourceServer
+from tansywood.distribution.server import MAX_MESSAGES_PER_TURN, SourceServer
 from tansywood.distribution.source import Source
 from tansywood.distribution.subscriber import Subscriber
-from tansywood.distribution.terms import Terms
 
 from .test_sockets import LOCAL, keys, resource, until
 
@@ -49,11 +49,13 @@
     """A source with much to send, and one that fetches all of it."""
 
     def __init__(self) -> None:
-        self.terms = Terms()
-        replica = Replica(self.terms.window, Epoch(1, b"a"))
+        self.parameters = Parameters()
+        replica = Replica(self.parameters.max_resumable_changes, Epoch(1, b"a"))
         for number in range(RESOURCES):
             replica.commit(resource(f"t{number}", number + 1, BODY))
-        self.source = CountedSource(replica, self.terms, time.monotonic_ns(), is_publisher=True)
+        self.source = CountedSource(
+            replica, self.parameters, time.monotonic_ns(), is_publisher=True
+        )
         self.source.made = Counter()
         self.server = SourceServer(self.source, keys, "fleet")
         self.address = ""
@@ -67,8 +69,8 @@
         subscriber = Subscriber(
             name,
             [self.address],
-            Replica(self.terms.window),
-            self.terms,
+            Replica(self.parameters.max_resumable_changes),
+            self.parameters,
             Random(1),
             time.monotonic_ns(),
             everything,
@@ -80,7 +82,7 @@
     def check(self) -> None:
         """The loop reads, and a timer sends, in the same turn as a turn of the server."""
         assert sum(self.source.made.values()) >= RESOURCES // 2
-        assert max(self.source.made.values()) <= 3 * TURN_MESSAGES
+        assert max(self.source.made.values()) <= 3 * MAX_MESSAGES_PER_TURN
 
 
 def test_what_fetches_everything_is_sent_a_few_messages_in_each_turn_of_the_loop() -> None:
