--- a/tests/scale_rig/test_life.py
+++ b/tests/scale_rig/test_life.py
@@ -18,14 +18,14 @@
 from standins.scale.records import ABSENT, Applied, generation_of, read_applied
 from standins.scale.sizes import FLEET
 from tansywood.distribution.messages import Epoch
+from tansywood.distribution.parameters import MS, SECOND, Parameters
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.resources import encode
 from tansywood.distribution.server import SourceServer
 from tansywood.distribution.source import Source
-from tansywood.distribution.terms import MS, SECOND, Terms
 from windrelay.config import Address
 
-TERMS = Terms(silence=60 * SECOND, unknown=50 * MS)
+PARAMETERS = Parameters(silence_timeout_ns=60 * SECOND, unknown_alias_ttl_ns=50 * MS)
 THERE, COMES = 1, 2  # tenants: from the start, and created in the run
 LIMIT_S = 10.0  # a hang, not a measure
 
@@ -60,13 +60,13 @@
         await self.serve()
         self.publish(1, uid_of(THERE), THERE)
         addresses = (f"{self.address.host}:{self.address.port}",)
-        world = World(addresses, keys, TERMS, Delays(), Random(1), self.applied)
+        world = World(addresses, keys, PARAMETERS, Delays(), Random(1), self.applied)
         self.life = Life(NodePlan(0, 0, 0, (THERE, COMES)), NodeLinks(), world)
         self.life.client.start()
 
     async def serve(self) -> None:
         """Begin to serve, or again after `server.stop()`."""
-        self.source = Source(self.published, TERMS, time.monotonic_ns(), is_publisher=True)
+        self.source = Source(self.published, PARAMETERS, time.monotonic_ns(), is_publisher=True)
         self.server = SourceServer(self.source, keys, FLEET)
         self.address = await self.server.start(self.address)
 
@@ -78,7 +78,7 @@
         resource = encode(uid, revision, view(uid, tenant) if tenant is not None else None)
         self.published.commit(resource)
         self.source.changed(uid, revision, time.monotonic_ns())
-        self.server.pump()
+        self.server.flush()
 
     async def holds(self, *uids: str) -> None:
         await until(lambda: self.life.replica.entries.keys() == set(uids))
--- a/tests/scale_rig/test_links.py
+++ b/tests/scale_rig/test_links.py
@@ -12,14 +12,19 @@
 from standins.scale.links import NodeLinks
 from tansywood.distribution.client import SubscriberClient
 from tansywood.distribution.messages import Epoch, Kind, Resource
+from tansywood.distribution.parameters import MS, SECOND, Parameters
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.server import SourceServer
 from tansywood.distribution.source import Source
 from tansywood.distribution.subscriber import Action, Apply, Subscriber
-from tansywood.distribution.terms import MS, SECOND, Terms
 from windrelay.config import Address
 
-PATIENT = Terms(silence=60 * SECOND, dial=300 * MS, reconnect_first=20 * MS, reconnect_most=50 * MS)
+PATIENT = Parameters(
+    silence_timeout_ns=60 * SECOND,
+    dial_timeout_ns=300 * MS,
+    reconnect_backoff_base_ns=20 * MS,
+    max_reconnect_backoff_ns=50 * MS,
+)
 
 
 def keys() -> list[bytes]:
@@ -58,7 +63,7 @@
     def change(self, revision: int) -> None:
         self.published.commit(Resource("t1", revision, Kind.CONTENT, b"%d" % revision, []))
         self.source.changed("t1", revision, time.monotonic_ns())
-        self.server.pump()
+        self.server.flush()
 
     async def arrived(self, revision: int) -> None:
         await until(lambda: self.replica.revision >= revision)
--- a/tests/service/agent_world.py
+++ b/tests/service/agent_world.py
@@ -18,11 +18,11 @@
 from standins.servers import Behaviour
 from standins.service import document
 from tansywood.distribution.messages import Epoch, Kind, Lookup, Message, Resource
+from tansywood.distribution.parameters import Parameters
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.resources import encode
 from tansywood.distribution.server import SourceServer
 from tansywood.distribution.source import Session, Source
-from tansywood.distribution.terms import Terms
 from tansywood.service.part import LIFELINE, READY, Place
 from tansywood.service.wire import frame, read_frame
 from tansywood.tenancy.registry import Actor, Change, Registry
@@ -40,8 +40,8 @@
 
     def __init__(self, listeners: Sequence[str], iso: Sequence[str]) -> None:
         self.registry = Registry(frozenset(listeners), frozenset(iso))
-        self.replica = Replica(Terms().window, Epoch(1, b"a"))
-        self.source = Source(self.replica, Terms(), time.monotonic_ns(), is_publisher=True)
+        self.replica = Replica(Parameters().max_resumable_changes, Epoch(1, b"a"))
+        self.source = Source(self.replica, Parameters(), time.monotonic_ns(), is_publisher=True)
         self.server = self._made()
         self.at = Address("127.0.0.1", 0)
         self.lookups: list[str] = []  # aliases that were asked for
@@ -70,7 +70,7 @@
     def publish(self, resource: Resource) -> None:
         self.replica.commit(resource)
         self.source.changed(resource.uid, resource.revision, time.monotonic_ns())
-        self.server.pump()
+        self.server.flush()
 
     def spoil(self, uid: str) -> int:
         """Publish a state that nobody can put into force; returns its revision."""
