--- a/flinthatch/learned_state.py
+++ b/flinthatch/learned_state.py
@@ -59,23 +59,26 @@
         "level": balancer.concurrency_limit,
         "rate": balancer.send_rate,
         "classes": {
-            c.spec.name: {"lat": c.mean_latency, "base": c.baseline_latency}
-            for c in balancer.classes
-            if c.latency_count
+            class_state.spec.name: {
+                "lat": class_state.mean_latency,
+                "base": class_state.baseline_latency,
+            }
+            for class_state in balancer.classes
+            if class_state.latency_count
         },
         "backends": {
-            str(b.id): {
-                "boot": b.started_at + wall_offset if b.started_at else 0,
-                "lat": b.latency_ratio,
-                "down": max(b.ejected_until - now, 0) if b.ejected_until else 0,
-                "trial": b.half_open,
-                "backoff": b.ejection_backoff,
-                "strikes": b.consecutive_failures,
-                "cold": max(b.slow_start_until - now, 0),
-                "rest": max(b.paused_until - now, 0),
+            str(backend.id): {
+                "boot": backend.started_at + wall_offset if backend.started_at else 0,
+                "lat": backend.latency_ratio,
+                "down": max(backend.ejected_until - now, 0) if backend.ejected_until else 0,
+                "trial": backend.half_open,
+                "backoff": backend.ejection_backoff,
+                "strikes": backend.consecutive_failures,
+                "cold": max(backend.slow_start_until - now, 0),
+                "rest": max(backend.paused_until - now, 0),
             }
-            for b in balancer.backends.values()
-            if b.state == State.READY
+            for backend in balancer.backends.values()
+            if backend.state == State.READY
         },
     }
 
@@ -130,14 +133,14 @@
 def restore_latencies(balancer: Balancer, entries: object) -> int:
     """Restore the mean latencies of classes; returns how many were plausible and used."""
     count = 0
-    for c in balancer.classes:
-        entry = entries.get(c.spec.name) if isinstance(entries, dict) else None
+    for class_state in balancer.classes:
+        entry = entries.get(class_state.spec.name) if isinstance(entries, dict) else None
         latency = finite_or(entry.get("lat"), 0.0) if isinstance(entry, dict) else 0.0
-        if isinstance(entry, dict) and 0 < latency <= 2 * c.latency_target:
-            c.mean_latency = latency
-            c.latency_count = RESTORED_LATENCY_COUNT
+        if isinstance(entry, dict) and 0 < latency <= 2 * class_state.latency_target:
+            class_state.mean_latency = latency
+            class_state.latency_count = RESTORED_LATENCY_COUNT
             baseline = finite_or(entry.get("base"), 0.0)
-            c.baseline_latency = baseline if 0 < baseline <= latency else 0.0
+            class_state.baseline_latency = baseline if 0 < baseline <= latency else 0.0
             count += 1
     return count
 
@@ -151,39 +154,39 @@
     the ready ones.
     """
     known: list[tuple[float, Backend, dict[str, object]]] = []
-    for b in balancer.backends.values():
-        entry = entries.get(str(b.id))
-        if b.state != State.READY or not isinstance(entry, dict):
+    for backend in balancer.backends.values():
+        entry = entries.get(str(backend.id))
+        if backend.state != State.READY or not isinstance(entry, dict):
             continue
-        boot = b.started_at + (wall_now - now) if b.started_at else 0
+        boot = backend.started_at + (wall_now - now) if backend.started_at else 0
         if finite_or(entry.get("boot"), -1.0) // MS != boot // MS:
             continue  # the backend restarted since: it is in slow start, and the entry is void
-        known.append((finite_or(entry.get("down"), 0.0), b, entry))
+        known.append((finite_or(entry.get("down"), 0.0), backend, entry))
     ejected_count = 0
-    for ejected_for, b, entry in sorted(known, key=lambda item: (-item[0], item[1].id)):
-        b.latency_ratio = min(max(finite_or(entry.get("lat"), 1.0), 0.1), 10.0)
+    for ejected_for, backend, entry in sorted(known, key=lambda item: (-item[0], item[1].id)):
+        backend.latency_ratio = min(max(finite_or(entry.get("lat"), 1.0), 0.1), 10.0)
         # A record may extend the slow start that follows from the backend's start, not shorten it.
         slow_start_left = int(finite_or(entry.get("cold"), 0.0)) - age
         if slow_start_left > 0:
-            b.slow_start_until = max(
-                b.slow_start_until, now + min(slow_start_left, balancer.settings.slow_start)
+            backend.slow_start_until = max(
+                backend.slow_start_until, now + min(slow_start_left, balancer.settings.slow_start)
             )
         pause_left = int(finite_or(entry.get("rest"), 0.0)) - age
         if pause_left > 0:
-            b.paused_until = now + min(pause_left, balancer.settings.overload_window)
-            balancer.schedule_wakeup(b.paused_until, b)
+            backend.paused_until = now + min(pause_left, balancer.settings.overload_window)
+            balancer.schedule_wakeup(backend.paused_until, backend)
         backoff = min(
             max(int(finite_or(entry.get("backoff"), EJECTION_BACKOFF_NS)), EJECTION_BACKOFF_NS),
             MAX_EJECTION_BACKOFF_NS,
         )
         failures = min(max(int(finite_or(entry.get("strikes"), 0.0)), 0), 100)
         if ejected_for > 0 or entry.get("trial") is True:
-            b.ejection_backoff = min(
+            backend.ejection_backoff = min(
                 max(int(ejected_for) - age, MIN_EJECTION_NS), MAX_EJECTION_BACKOFF_NS
             )
-            balancer.eject(now, b, "ejected before the restart")
-            ejected_count += bool(b.ejected_until)
-            b.consecutive_failures = failures
-        b.ejection_backoff = backoff
-        balancer.update_bucket(b)
+            balancer.eject(now, backend, "ejected before the restart")
+            ejected_count += bool(backend.ejected_until)
+            backend.consecutive_failures = failures
+        backend.ejection_backoff = backoff
+        balancer.update_bucket(backend)
     return ejected_count
--- a/flinthatch/reconfigure.py
+++ b/flinthatch/reconfigure.py
@@ -45,15 +45,24 @@
             raise ValueError(f"{name} can change only at a start")
     classes_in_use = {id(r.cls) for r in balancer.requests.values()}
     kept = []
-    for c in balancer.classes:
-        if not _is_retired(c):
-            kept.append(c)
-        elif id(c) in classes_in_use:
-            kept.append(c)
+    for class_state in balancer.classes:
+        if not _is_retired(class_state):
+            kept.append(class_state)
+        elif id(class_state) in classes_in_use:
+            kept.append(class_state)
             for spec in settings.classes:
-                if RETIRED_PREFIX + spec.name == c.spec.name and allows_more_retries(spec, c.spec):
-                    _update_class(c, replace(spec, name=c.spec.name, deadline=c.spec.deadline))
-    current = {c.spec.name: c for c in kept if not _is_retired(c)}
+                if RETIRED_PREFIX + spec.name == class_state.spec.name and allows_more_retries(
+                    spec, class_state.spec
+                ):
+                    _update_class(
+                        class_state,
+                        replace(
+                            spec, name=class_state.spec.name, deadline=class_state.spec.deadline
+                        ),
+                    )
+    current = {
+        class_state.spec.name: class_state for class_state in kept if not _is_retired(class_state)
+    }
     for spec in settings.classes:
         old = current.get(spec.name)
         if old is None or allows_more_retries(old.spec, spec):
@@ -63,16 +72,24 @@
             del current[spec.name]
     for old in current.values():
         old.spec = replace(old.spec, name=RETIRED_PREFIX + old.spec.name)
-    kept = [c for c in kept if not _is_retired(c) or id(c) in classes_in_use]
+    kept = [
+        class_state
+        for class_state in kept
+        if not _is_retired(class_state) or id(class_state) in classes_in_use
+    ]
     _replace_classes(balancer, kept)
     balancer.settings = settings
     balancer.update_slot_limits()
     balancer.dispatch(now)
-    return {c.spec.name: c.number for c in kept if not _is_retired(c)}
+    return {
+        class_state.spec.name: class_state.number
+        for class_state in kept
+        if not _is_retired(class_state)
+    }
 
 
-def _is_retired(c: ClassState) -> bool:
-    return c.spec.name.startswith(RETIRED_PREFIX)
+def _is_retired(class_state: ClassState) -> bool:
+    return class_state.spec.name.startswith(RETIRED_PREFIX)
 
 
 def refuse_waiting(balancer: Balancer, now: int) -> int:
@@ -92,35 +109,46 @@
 def _create_class(
     spec: RequestClass, predecessor: ClassState | None, tenant_count: int
 ) -> ClassState:
-    c = ClassState(0, spec, tenant_count)
+    class_state = ClassState(0, spec, tenant_count)
     if predecessor is not None:
-        c.mean_latency, c.latency_count, c.baseline_latency, c.share = (
+        (
+            class_state.mean_latency,
+            class_state.latency_count,
+            class_state.baseline_latency,
+            class_state.share,
+        ) = (
             predecessor.mean_latency,
             predecessor.latency_count,
             predecessor.baseline_latency,
             predecessor.share,
         )
-    return c
+    return class_state
 
 
-def _update_class(c: ClassState, spec: RequestClass) -> None:
-    if spec.deadline != c.spec.deadline:
+def _update_class(class_state: ClassState, spec: RequestClass) -> None:
+    if spec.deadline != class_state.spec.deadline:
         # The histogram counts clients' times left in steps of the old deadline.
-        c.time_left_histogram = [0] * (TIME_LEFT_STEP_COUNT + 1)
-        c.usual_time_left_step = c.time_left_count = 0
-    c.spec = spec
-    c.latency_target = spec.latency_target
-    c.effect = spec.effect
+        class_state.time_left_histogram = [0] * (TIME_LEFT_STEP_COUNT + 1)
+        class_state.usual_time_left_step = class_state.time_left_count = 0
+    class_state.spec = spec
+    class_state.latency_target = spec.latency_target
+    class_state.effect = spec.effect
 
 
 def _replace_classes(balancer: Balancer, classes: list[ClassState]) -> None:
     """Number the classes anew, with the latency samples of those that the balancer had."""
-    sums = {id(c): balancer.target_ratio_sums[c.number] for c in balancer.classes}
-    counts = {id(c): balancer.target_ratio_counts[c.number] for c in balancer.classes}
+    sums = {
+        id(class_state): balancer.target_ratio_sums[class_state.number]
+        for class_state in balancer.classes
+    }
+    counts = {
+        id(class_state): balancer.target_ratio_counts[class_state.number]
+        for class_state in balancer.classes
+    }
     balancer.classes = classes
-    balancer.target_ratio_sums = [sums.get(id(c), 0.0) for c in classes]
-    balancer.target_ratio_counts = [counts.get(id(c), 0.0) for c in classes]
-    for number, c in enumerate(classes):
-        c.number = number
+    balancer.target_ratio_sums = [sums.get(id(class_state), 0.0) for class_state in classes]
+    balancer.target_ratio_counts = [counts.get(id(class_state), 0.0) for class_state in classes]
+    for number, class_state in enumerate(classes):
+        class_state.number = number
     balancer.current_class %= len(classes)
     balancer.turns_left = 0
--- a/flinthatch/shared_limits.py
+++ b/flinthatch/shared_limits.py
@@ -44,8 +44,8 @@
     balancer.dispatch(now)
 
 
-def mark_half_open(balancer: Balancer, now: int, backends: Iterable[int], recent_ns: int) -> int:
-    """Make backends half-open that other processes have ejected; returns how many became so.
+def mark_half_open(balancer: Balancer, now: int, backend_ids: Iterable[int], recent_ns: int) -> int:
+    """Make backends half-open that fail for other processes; returns how many became so.
 
     Each of them gets one request at a time until it has answered one of this process. A backend
     that answered this process within `recent_ns` and has not failed since stays as it is, as does
@@ -53,68 +53,76 @@
     """
     balancer.now = now
     count = 0
-    for number in backends:
-        b = balancer.backends.get(number)
-        if b is None or b.state != State.READY or b.half_open or b.ejected_until:
+    for backend_id in backend_ids:
+        backend = balancer.backends.get(backend_id)
+        if (
+            backend is None
+            or backend.state != State.READY
+            or backend.half_open
+            or backend.ejected_until
+        ):
             continue
         if (
-            b.last_outcome_at
-            and now - b.last_outcome_at <= recent_ns
-            and not b.error_fraction
-            and not b.consecutive_failures
+            backend.last_outcome_at
+            and now - backend.last_outcome_at <= recent_ns
+            and not backend.error_fraction
+            and not backend.consecutive_failures
         ):
             continue
-        b.half_open = True
-        balancer.update_bucket(b)
+        backend.half_open = True
+        balancer.update_bucket(backend)
         count += 1
     return count
 
 
-def extend_ejection(balancer: Balancer, now: int, backend: int, until: int) -> bool:
+def extend_ejection(balancer: Balancer, now: int, backend_id: int, until: int) -> bool:
     """Keep an ejected backend ejected up to `until`, while another process tries it.
 
     Returns False where the backend is not ejected here, or is ejected for that long already.
     """
-    b = balancer.backends.get(backend)
-    if b is None or not b.ejected_until or b.ejected_until >= until:
+    backend = balancer.backends.get(backend_id)
+    if backend is None or not backend.ejected_until or backend.ejected_until >= until:
         return False
-    b.ejected_until = until
-    balancer.schedule_wakeup(until, b)
+    backend.ejected_until = until
+    balancer.schedule_wakeup(until, backend)
     return True
 
 
-def end_ejection(balancer: Balancer, now: int, backend: int) -> bool:
+def end_ejection(balancer: Balancer, now: int, backend_id: int) -> bool:
     """Make an ejected backend half-open, as it has answered the try of another process.
 
     Returns False where the backend is not ejected here.
     """
     balancer.now = now
-    b = balancer.backends.get(backend)
-    if b is None or not b.ejected_until:
+    backend = balancer.backends.get(backend_id)
+    if backend is None or not backend.ejected_until:
         return False
-    balancer.end_ejection(b)
+    balancer.end_ejection(backend)
     balancer.dispatch(now)
     return True
 
 
 def count_occupied_slots(balancer: Balancer) -> dict[int, int]:
     """Occupied slots by backend: attempts in flight, and abandoned ones that may still run."""
-    return {b.id: b.in_flight + len(b.abandoned_until) for b in balancer.backends.values()}
+    return {
+        backend.id: backend.in_flight + len(backend.abandoned_until)
+        for backend in balancer.backends.values()
+    }
 
 
 def list_ejected(balancer: Balancer) -> set[int]:
     """Backends that this process has ejected."""
-    return {b.id for b in balancer.backends.values() if b.ejected_until}
+    return {backend.id for backend in balancer.backends.values() if backend.ejected_until}
 
 
 def list_recent_answers(balancer: Balancer, now: int, within_ns: int) -> dict[int, int]:
     """Backends that answered within `within_ns` and have not failed since, each with the
     nanoseconds since its answer."""
     return {
-        b.id: now - b.last_outcome_at
-        for b in balancer.backends.values()
-        if b.last_outcome_at
-        and now - b.last_outcome_at <= within_ns
-        and not b.consecutive_failures
-        and not b.error_fraction
+        backend.id: now - backend.last_outcome_at
+        for backend in balancer.backends.values()
+        if backend.last_outcome_at
+        and now - backend.last_outcome_at <= within_ns
+        and not backend.consecutive_failures
+        and not backend.error_fraction
     }
--- a/flinthatch/simulator_adapter.py
+++ b/flinthatch/simulator_adapter.py
@@ -94,18 +94,18 @@
     balancers = raw.integer("balancers", minimum=1, maximum=MAX_BALANCER_COUNT)
     classes = tuple(
         RequestClass(
-            name=c.string("name", str(i)),
-            latency_target=c.integer("target", minimum=1),
-            deadline=c.integer("deadline", minimum=1),
-            effect=c.choice("effect", EFFECTS),
-            scope=c.choice("dedup_scope", SCOPES, "all"),
-            retry_window=c.integer("repeat_window", 0),
-            value=c.number("credit", 1.0),
-            late_value=c.number("late_worth", 0.0),
-            stream=c.boolean("stream"),
-            target_stretch=c.number("aim_stretch", 0.0),
+            name=class_settings.string("name", str(i)),
+            latency_target=class_settings.integer("target", minimum=1),
+            deadline=class_settings.integer("deadline", minimum=1),
+            effect=class_settings.choice("effect", EFFECTS),
+            scope=class_settings.choice("dedup_scope", SCOPES, "all"),
+            retry_window=class_settings.integer("repeat_window", 0),
+            value=class_settings.number("credit", 1.0),
+            late_value=class_settings.number("late_worth", 0.0),
+            stream=class_settings.boolean("stream"),
+            target_stretch=class_settings.number("aim_stretch", 0.0),
         )
-        for i, c in enumerate(raw.children("classes", required=True))
+        for i, class_settings in enumerate(raw.children("classes", required=True))
     )
     if not classes:
         raise InvalidSettingError(
@@ -113,13 +113,13 @@
         )
     tenants = tuple(
         Tenant(
-            name=t.string("name", str(i)),
-            share=t.number("portion", 1.0),
-            quota_per_s=t.number("quota_per_s", 0.0),
+            name=tenant_settings.string("name", str(i)),
+            share=tenant_settings.number("portion", 1.0),
+            quota_per_s=tenant_settings.number("quota_per_s", 0.0),
         )
-        for i, t in enumerate(raw.children("realms"))
+        for i, tenant_settings in enumerate(raw.children("realms"))
     )
-    info = raw.child("load_info")
+    load_info = raw.child("load_info")
     return Settings(
         node=raw.integer("me", 0),
         balancers=balancers,
@@ -127,7 +127,9 @@
         zones=max(1, len(raw.strings("areas"))),
         classes=classes,
         tenants=tenants,
-        load_columns=info.strings("columns") if info.string("how", "off") != "off" else (),
+        load_columns=load_info.strings("columns")
+        if load_info.string("how", "off") != "off"
+        else (),
         ask=raw.string("registry_mode", "push") == "ask",
         ask_within=rules.integer("ask_within", 10 * SECOND),
         drain_grace=rules.integer("drain_grace", 0),
@@ -286,12 +288,12 @@
         return offset + 23
 
     def handle_outcome(self, now: int, body: bytes, offset: int) -> int:
-        _, instance, request, _backend, answered, attempt, duration, code, n = (
+        _, instance, request, _backend, answered, attempt, duration, code, load_count = (
             OUTCOME_EVENT.unpack_from(body, offset)
         )
         if not 1 <= code <= 8:
             raise ProtocolError(f"unknown outcome {code}")
-        load = struct.unpack_from(f">{n}f", body, offset + 26) if n else ()
+        load = struct.unpack_from(f">{load_count}f", body, offset + 26) if load_count else ()
         actions = self.instances.get(instance)
         if actions is not None and actions.balancer is not None:
             try:
@@ -300,12 +302,12 @@
                 )
             except Exception as err:
                 self.report_exception(instance, err)
-        return offset + 26 + 4 * int(n)
+        return offset + 26 + 4 * int(load_count)
 
     def handle_list(self, now: int, body: bytes, offset: int) -> int:
         """Define a numbered backend list for the list updates of all instances."""
-        _, number, n = LIST_EVENT.unpack_from(body, offset)
-        end: int = offset + 7 + LIST_ENTRY.size * n
+        _, number, row_count = LIST_EVENT.unpack_from(body, offset)
+        end: int = offset + 7 + LIST_ENTRY.size * row_count
         if end > len(body):
             raise ProtocolError("a backend list is truncated")
         entries = []
@@ -342,12 +344,12 @@
         return offset + 38
 
     def handle_probe(self, now: int, body: bytes, offset: int) -> int:
-        _, instance, backend, duration, code, n = PROBE_EVENT.unpack_from(body, offset)
+        _, instance, backend, duration, code, load_count = PROBE_EVENT.unpack_from(body, offset)
         if not 1 <= code <= 8:
             raise ProtocolError(f"unknown outcome {code}")
-        load = struct.unpack_from(f">{n}f", body, offset + 19)
+        load = struct.unpack_from(f">{load_count}f", body, offset + 19)
         self.notify_balancer(instance, "on_probe", now, backend, code, duration, load)
-        return offset + 19 + 4 * int(n)
+        return offset + 19 + 4 * int(load_count)
 
     def handle_note(self, now: int, body: bytes, offset: int) -> int:
         """Skip a note of another instance: Balancers send none and need none."""
@@ -399,8 +401,8 @@
         body = read_exactly(stdin, size)
         if len(body) < size:
             raise ProtocolError("a frame's body is truncated")
-        n, reply = adapter.handle_frame(now, count, body)
-        stdout.write(REPLY_HEADER.pack(seq, n, len(reply)) + reply)
+        record_count, reply = adapter.handle_frame(now, count, body)
+        stdout.write(REPLY_HEADER.pack(seq, record_count, len(reply)) + reply)
         stdout.flush()
 
 
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -33,7 +33,7 @@
 from .harness import HANG_TIMEOUT_S, ROOT, Peer, answer, config, listen, request, roster, target
 
 WALL = 1_700_000_000 * SECOND  # Unix time at 0 of the first process's clock
-RESTARTED_AT = 50 * SECOND  # of the second process's clock, which began at another time
+RESTARTED_AT = 50 * SECOND  # on the second process's own clock, which has another zero
 
 
 def balancer_with_ejections(count: int = 6, down: int = 1) -> Balancer:
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -35,10 +35,10 @@
     return SETTINGS | {"classes": list(classes), "limits": SETTINGS["limits"] | limits}
 
 
-def read_log_until(n: RunningNode, what: str) -> None:
+def read_log_until(running: RunningNode, what: str) -> None:
     """Read the node's log up to a line with this text."""
-    assert n.process.stderr is not None
-    while what not in (line := n.process.stderr.readline()):
+    assert running.process.stderr is not None
+    while what not in (line := running.process.stderr.readline()):
         assert line
 
 
@@ -112,13 +112,13 @@
 def test_added_class_applies_its_own_rules_at_once(tmp_path: Path) -> None:
     with listen() as backend:
         known = roster(target("s-1", backend.getsockname()[1]))
-        with node(tmp_path, known) as n:
-            client = n.connect()
+        with node(tmp_path, known) as running:
+            client = running.connect()
             client.send(request("/refund/1", b"x"))
             assert client.message()[0].split(" ")[1] == "404"
-            n.reload(settings=settings(BALANCE, CREDIT, REFUND))
-            read_log_until(n, "reloaded")
-            client = n.connect()
+            running.reload(settings=settings(BALANCE, CREDIT, REFUND))
+            read_log_until(running, "reloaded")
+            client = running.connect()
             client.send(request("/refund/1", b"x", timeout=9000))
             peer = accept(backend)
             first, headers, _ = peer.message()
@@ -132,14 +132,14 @@
 def test_requests_of_a_removed_class_are_served(tmp_path: Path) -> None:
     with listen() as backend:
         known = roster(target("s-1", backend.getsockname()[1]))
-        with node(tmp_path, known) as n:
-            held = n.connect()
+        with node(tmp_path, known) as running:
+            held = running.connect()
             held.send(request("/credit/1", b"x", timeout=3000))
             peer = accept(backend)
             peer.message()
-            n.reload(settings=settings(BALANCE, REFUND))
-            read_log_until(n, "reloaded")
-            late = n.connect()
+            running.reload(settings=settings(BALANCE, REFUND))
+            read_log_until(running, "reloaded")
+            late = running.connect()
             late.send(request("/credit/2", b"x"))
             second = accept(backend)
             assert second.message()[0].startswith("POST /credit/2")
@@ -155,12 +155,12 @@
     """Class numbers change with the settings, so a number found before would mean another class."""
     with listen() as backend:
         known = roster(target("s-1", backend.getsockname()[1]))
-        with node(tmp_path, known) as n:
-            client = n.connect()
+        with node(tmp_path, known) as running:
+            client = running.connect()
             whole = request("/credit/1", b"0123456789")
             client.send(whole[:-5])
-            n.reload(settings=settings(REFUND, CREDIT, BALANCE))
-            read_log_until(n, "reloaded")
+            running.reload(settings=settings(REFUND, CREDIT, BALANCE))
+            read_log_until(running, "reloaded")
             client.send(whole[-5:])
             peer = accept(backend)
             first, _, body = peer.message()
@@ -199,10 +199,10 @@
 def test_setting_that_can_change_only_at_a_start_rejects_the_whole_file(
     tmp_path: Path, fixed: dict[str, object]
 ) -> None:
-    with node(tmp_path, roster()) as n:
-        n.reload(settings=settings(BALANCE, REFUND) | fixed)
-        read_log_until(n, "turned down")
-        client = n.connect()
+    with node(tmp_path, roster()) as running:
+        running.reload(settings=settings(BALANCE, REFUND) | fixed)
+        read_log_until(running, "turned down")
+        client = running.connect()
         client.send(request("/refund/1", b"x"))
         assert client.message()[0].split(" ")[1] == "404"
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -202,11 +202,11 @@
     spec = settings["classes"][-1]
     with listen() as backend:
         known = roster(target("s-1", backend.getsockname()[1]))
-        with node(tmp_path, known, settings=settings) as n:
+        with node(tmp_path, known, settings=settings) as running:
             safe = spec["effect"] == "pure"
             for _ in range(2):
                 # The deadline runs by the node's clock, so a slow test process does not affect it.
-                client = n.connect()
+                client = running.connect()
                 client.send(request(f"/{spec['name']}/1", None if safe else b"x", timeout=60_000))
                 if spec["deadline"] < SECOND:
                     assert client.message()[0].startswith("HTTP/1.1 50")  # no answer by then
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -148,13 +148,13 @@
     """A node that does not watch the agent uses the list of its start for as long as it runs."""
     with listen() as agent, listen() as old, listen() as new:
         known = roster(target("s-1", port(old)))
-        with node(tmp_path, known, port(agent), settings=PUSHED) as n:
+        with node(tmp_path, known, port(agent), settings=PUSHED) as running:
             peer = accept(agent)
             assert "?from=1&hold_ms=500 " in peer.message()[0]
             rows = (target("s-1", port(old), "leaving"), target("s-2", port(new)))
             peer.send(answer(json.dumps(roster(*rows, rev=2, whole=False)).encode()))
             assert "?from=2&" in accept(agent).message()[0]
-            client = n.connect()
+            client = running.connect()
             client.send(request())
             accept(new).message()
 
