--- a/tests/test_amend.py
+++ b/tests/test_amend.py
@@ -59,9 +59,9 @@
         send_request(balancer, 0, 100 + balancer.in_flight)
     first = 100
     balancer.on_outcome(MS, first, 0, Outcome.ERROR, MS, False)  # its retry may be sent at once
-    waiting = [r for r in balancer.requests.values() if r.queued and r.attempts]
-    before = count_sends(host, first)
-    if not waiting:
+    queued_retries = [r for r in balancer.requests.values() if r.queued and r.attempts]
+    sends_before = count_sends(host, first)
+    if not queued_retries:
         # The retry took the slot that the first attempt freed: it fails too, with the slot taken.
         send_request(balancer, MS, 999)
     reconfigure_classes(balancer, 2 * MS, SIDE_EFFECT_X)
@@ -69,17 +69,17 @@
         for number, attempt in enumerate(r.attempts):
             if attempt.is_open:
                 balancer.on_outcome(3 * MS, r.id, number, Outcome.ERROR, MS, False)
-    assert count_sends(host, first) == before
+    assert count_sends(host, first) == sends_before
     assert not any(call[1] == first for call in host.calls_named("refuse"))
 
 
 def test_request_taken_before_its_class_became_pure_is_not_retried() -> None:
     balancer, host = start_balancer(SIDE_EFFECT_X)
     send_request(balancer, 0, 1)
-    numbers = reconfigure_classes(balancer, MS, PURE_X)
+    class_numbers = reconfigure_classes(balancer, MS, PURE_X)
     balancer.on_outcome(2 * MS, 1, 0, Outcome.RESET, 2 * MS, False)
     assert count_sends(host, 1) == 1 and host.calls_named("fail") == [("fail", 1)]
-    send_request(balancer, 3 * MS, 2, numbers["x"])
+    send_request(balancer, 3 * MS, 2, class_numbers["x"])
     balancer.on_outcome(4 * MS, 2, 0, Outcome.RESET, MS, False)
     assert count_sends(host, 2) == 2
 
@@ -99,12 +99,12 @@
         Settings(classes=(PURE_X, replace(UNSAFE, name="y")), max_attempts=4)
     )
     send_request(balancer, 0, 1, 0)
-    numbers = reconfigure_classes(balancer, MS, replace(UNSAFE, name="y"))
-    assert list(numbers) == ["y"] and len(balancer.classes) == 2
-    send_request(balancer, 2 * MS, 2, numbers["y"])
+    class_numbers = reconfigure_classes(balancer, MS, replace(UNSAFE, name="y"))
+    assert list(class_numbers) == ["y"] and len(balancer.classes) == 2
+    send_request(balancer, 2 * MS, 2, class_numbers["y"])
     balancer.on_outcome(3 * MS, 1, 0, Outcome.OK, 3 * MS, True)
-    numbers = reconfigure_classes(balancer, 4 * MS, replace(UNSAFE, name="y"))
-    assert len(balancer.classes) == 1 and numbers == {"y": 0}
+    class_numbers = reconfigure_classes(balancer, 4 * MS, replace(UNSAFE, name="y"))
+    assert len(balancer.classes) == 1 and class_numbers == {"y": 0}
     balancer.on_outcome(5 * MS, 2, 0, Outcome.OK, 3 * MS, True)
     assert balancer.in_flight == 0 and balancer.classes[0].in_flight == 0
     assert not balancer.requests
@@ -129,9 +129,9 @@
         send_request(balancer, now, request)
         balancer.on_outcome(now + 7 * MS, request, 0, Outcome.OK, 7 * MS, True)
     send_request(balancer, SECOND, 99)
-    lat = balancer.classes[0].mean_latency
-    numbers = reconfigure_classes(balancer, SECOND, PURE_X)
-    assert numbers["x"] == 1 and balancer.classes[1].mean_latency == lat
+    mean_latency = balancer.classes[0].mean_latency
+    class_numbers = reconfigure_classes(balancer, SECOND, PURE_X)
+    assert class_numbers["x"] == 1 and balancer.classes[1].mean_latency == mean_latency
 
 
 def test_refuse_waiting_answers_all_queued_requests_at_once() -> None:
@@ -227,38 +227,40 @@
     settings = Settings(classes=tuple(classes.values()), max_attempts=4, slow_start=SECOND)
     balancer = Balancer(settings, seed, host)
     balancer.start(0)
-    servers = {100 + i: State.READY for i in range(3)}
-    balancer.on_backend_list(0, Update.CACHED, [Listing(b, s) for b, s in servers.items()])
-    numbers = {name: i for i, name in enumerate(classes)}
-    rid = now = 0
-    live: dict[int, str] = {}
+    backend_states = {100 + i: State.READY for i in range(3)}
+    balancer.on_backend_list(0, Update.CACHED, [Listing(b, s) for b, s in backend_states.items()])
+    class_numbers = {name: i for i, name in enumerate(classes)}
+    request_id = now = 0
+    class_by_request: dict[int, str] = {}
     for _ in range(1500):
         now += rng.randrange(1, 8) * MS
         host.now = now
-        step = rng.random()
-        if step < 0.45:
-            rid += 1
-            name = rng.choice(list(numbers))
-            host.rules[rid] = [classes[name]]
-            live[rid] = name
-            balancer.on_request(now, rid, numbers[name], classes[name].deadline)
-        elif step < 0.85 and host.in_flight:
-            key = rng.choice(list(host.in_flight))
-            sent = host.in_flight.pop(key)
+        action = rng.random()
+        if action < 0.45:
+            request_id += 1
+            name = rng.choice(list(class_numbers))
+            host.rules[request_id] = [classes[name]]
+            class_by_request[request_id] = name
+            balancer.on_request(now, request_id, class_numbers[name], classes[name].deadline)
+        elif action < 0.85 and host.in_flight:
+            attempt = rng.choice(list(host.in_flight))
+            sent_at = host.in_flight.pop(attempt)
             outcome = rng.choice(list(Outcome))
             if outcome == Outcome.OK:
-                if key[0] not in host.answers:
-                    host.answers[key[0]] = "served"
+                if attempt[0] not in host.answers:
+                    host.answers[attempt[0]] = "served"
             elif outcome not in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
-                host.first_run_at.setdefault(key[0], sent)
-            done = key[0] in host.answers
-            balancer.on_outcome(now, key[0], key[1], outcome, now - sent, done)
-        elif step < 0.9:
-            due = [call for call in host.calls if call[0] == "timer" and int(str(call[2])) <= now]
-            for call in due:
+                host.first_run_at.setdefault(attempt[0], sent_at)
+            answered = attempt[0] in host.answers
+            balancer.on_outcome(now, attempt[0], attempt[1], outcome, now - sent_at, answered)
+        elif action < 0.9:
+            due_timers = [
+                call for call in host.calls if call[0] == "timer" and int(str(call[2])) <= now
+            ]
+            for call in due_timers:
                 host.calls.remove(call)
                 balancer.on_timer(now, int(str(call[1])))
-        elif step < 0.95:
+        elif action < 0.95:
             # A class is changed, removed or added again.
             name = rng.choice(NAMES)
             if name in classes and len(classes) > 1 and rng.random() < 0.3:
@@ -270,39 +272,41 @@
                 classes=tuple(classes.values()),
                 max_attempts=rng.randrange(1, 5),
             )
-            for request, of in live.items():
-                if of in classes and request not in host.answers:
-                    host.rules[request].append(classes[of])
-            numbers = reconfigure(balancer, now, new)
-            assert sorted(numbers) == sorted(classes)
-        elif step < 0.98:
-            backend = rng.choice(list(servers))
+            for request, class_name in class_by_request.items():
+                if class_name in classes and request not in host.answers:
+                    host.rules[request].append(classes[class_name])
+            class_numbers = reconfigure(balancer, now, new)
+            assert sorted(class_numbers) == sorted(classes)
+        elif action < 0.98:
+            backend = rng.choice(list(backend_states))
             state = rng.choice((State.READY, State.DRAINING))
-            if state == State.READY or list(servers.values()).count(State.READY) > 1:
-                servers[backend] = state
-                host.draining = {b for b, s in servers.items() if s != State.READY}
-                rows = [Listing(b, s) for b, s in servers.items()]
+            if state == State.READY or list(backend_states.values()).count(State.READY) > 1:
+                backend_states[backend] = state
+                host.draining = {b for b, s in backend_states.items() if s != State.READY}
+                rows = [Listing(b, s) for b, s in backend_states.items()]
                 balancer.on_backend_list(now, Update.FULL, rows)
         else:
             refuse_waiting(balancer, now)
-        held = [b.in_flight for b in balancer.backends.values()]
-        assert sum(held) == balancer.in_flight == len(host.in_flight)
+        in_flight = [b.in_flight for b in balancer.backends.values()]
+        assert sum(in_flight) == balancer.in_flight == len(host.in_flight)
     # All requests end: the outcomes of attempts come, then the queue times run out.
-    for key, sent in list(host.in_flight.items()):
-        host.in_flight.pop(key)
-        host.first_run_at.setdefault(key[0], sent)
-        balancer.on_outcome(now, key[0], key[1], Outcome.RESET, now - sent, key[0] in host.answers)
+    for attempt, sent_at in list(host.in_flight.items()):
+        host.in_flight.pop(attempt)
+        host.first_run_at.setdefault(attempt[0], sent_at)
+        balancer.on_outcome(
+            now, attempt[0], attempt[1], Outcome.RESET, now - sent_at, attempt[0] in host.answers
+        )
     for _ in range(400):
         now += 50 * MS
         host.now = now
-        for key, sent in list(host.in_flight.items()):
-            host.in_flight.pop(key)
-            host.first_run_at.setdefault(key[0], sent)
-            done = key[0] in host.answers
-            balancer.on_outcome(now, key[0], key[1], Outcome.RESET, now - sent, done)
+        for attempt, sent_at in list(host.in_flight.items()):
+            host.in_flight.pop(attempt)
+            host.first_run_at.setdefault(attempt[0], sent_at)
+            answered = attempt[0] in host.answers
+            balancer.on_outcome(now, attempt[0], attempt[1], Outcome.RESET, now - sent_at, answered)
         for token in (1, 2):
             balancer.on_timer(now, token)
-    assert set(host.answers) == set(live), "a request got no answer"
+    assert set(host.answers) == set(class_by_request), "a request got no answer"
     assert not balancer.requests and not balancer.in_flight and not balancer.waiting
     assert len(balancer.classes) <= len(classes) + 4
     reconfigure(balancer, now, replace(balancer.settings, classes=tuple(classes.values())))
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -37,7 +37,7 @@
 
 
 def balancer_with_ejections(count: int = 6, down: int = 1) -> Balancer:
-    """A Balancer that has ejected some backends."""
+    """A Balancer that ejected its first `down` backends at 10 s of its clock, for 4 s."""
     balancer, _ = build_balancer(Settings(classes=(UNSAFE,), slow_start=8 * SECOND), count=count)
     for backend in list(balancer.backends.values())[:down]:
         backend.consecutive_failures = 4
@@ -262,6 +262,7 @@
 
 
 def count_served(port: int, count: int) -> int:
+    """Send requests in turn; returns how many were served."""
     served = 0
     peer = Peer(socket.create_connection(("127.0.0.1", port), HANG_TIMEOUT_S))
     for _ in range(count):
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -213,27 +213,27 @@
             queued.append(sock := socket.socket())
             sock.setblocking(False)
             sock.connect_ex(unreachable.getsockname())
-        ended: list[tuple[bytes | None, bool]] = []
+        endings: list[tuple[bytes | None, bool]] = []
 
         async def scenario() -> None:
             address = Address("127.0.0.1", port(unreachable))
             call = RegistryCall(
-                address, "/", 1000.0, lambda body: ended.append((body, call.timed_out))
+                address, "/", 1000.0, lambda body: endings.append((body, call.timed_out))
             )
-            await running.wait_until(lambda: ended)
+            await running.wait_until(lambda: endings)
 
         running.run(scenario())
-        assert ended == [(None, True)]
+        assert endings == [(None, True)]
         for sock in queued:
             sock.close()
 
 
 def test_answer_time_out_starts_once_the_connection_is_up(tmp_path: Path) -> None:
     with listen() as service, in_process_node(tmp_path, roster()) as running:
-        ended: list[object] = []
+        endings: list[object] = []
 
         async def scenario() -> None:
-            call = RegistryCall(Address("127.0.0.1", port(service)), "/", 1000.0, ended.append)
+            call = RegistryCall(Address("127.0.0.1", port(service)), "/", 1000.0, endings.append)
             connect_due = call._timeout_handle.when()
             await running.wait_until(lambda: call.sent_at)
             assert (
@@ -246,7 +246,7 @@
             await asyncio.sleep(0)
 
         running.run(scenario())
-        assert not ended
+        assert not endings
 
 
 def test_agent_hold_time_sets_its_time_out() -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -101,7 +101,7 @@
     client_gone = bytes.fromhex("14 00000003 0e6f2b19")
     timer = bytes.fromhex("10 00000003 000000000000004d")
     timer_of_unknown_instance = bytes.fromhex("10 00000009 000000000000004d")
-    probed = bytes.fromhex("19 00000003 2c9011f2 0000000000155cc0 01 00")
+    probe = bytes.fromhex("19 00000003 2c9011f2 0000000000155cc0 01 00")
     note = bytes.fromhex("1a 00000003 00000002 0004 68692037")
     response_started = bytes.fromhex("15 00000003 5d3a91c4 0000 03124a07 00000000008d24d0")
     events = (
@@ -109,7 +109,7 @@
         client_gone,
         timer,
         timer_of_unknown_instance,
-        probed,
+        probe,
         note,
         response_started,
     )
