--- a/tansywood/admin/publisher.py
+++ b/tansywood/admin/publisher.py
@@ -30,7 +30,7 @@
 from tansywood.distribution.parameters import Parameters
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.resources import ViewError, encode
-from tansywood.distribution.rollout import RolloutBoard, Summary
+from tansywood.distribution.rollout import RolloutSummary, RolloutTracker
 from tansywood.distribution.server import SourceServer
 from tansywood.distribution.source import Session, Source
 from tansywood.distribution.stream import Keys
@@ -75,9 +75,9 @@
     replica.begin_epoch(history.epoch, history.parent)
     replica.load(resources_of(registry))
     changes = _changes_of(registry)
-    replica.set_floor(changes[0][0] - 1 if changes else registry.seq)
+    replica.set_resumable_from(changes[0][0] - 1 if changes else registry.seq)
     for revision, uid in changes:
-        replica.record(revision, uid)
+        replica.record_change(revision, uid)
     return replica
 
 
@@ -96,7 +96,7 @@
             replica, parameters or Parameters(), time.monotonic_ns(), is_publisher=True
         )
         self.server = SourceServer(self.source, keys, fleet, self._overheard, self._gone, self._log)
-        self.board = RolloutBoard()
+        self.board = RolloutTracker()
         self.oversize = 0
         self._uids: OrderedDict[int, str] = OrderedDict()  # whose a change was
         self._moved = asyncio.Event()
@@ -131,12 +131,12 @@
 
     # ---- how far a change has come ---------------------------------------------------------
 
-    def summary(self, revision: int) -> Summary | None:
+    def summary(self, revision: int) -> RolloutSummary | None:
         """Of a recent change; None where it is not known any more, or was no tenant's."""
         uid = self._uids.get(revision)
         return self.board.summary(uid, revision) if uid is not None else None
 
-    def summary_of(self, uid: str) -> Summary:
+    def summary_of(self, uid: str) -> RolloutSummary:
         """Of a tenant's last change."""
         return self.board.summary(uid, self.replica.resource(uid).revision)
 
@@ -180,7 +180,9 @@
             self._greeted(session)
         elif isinstance(message, Rollouts):
             self.board.report(session.name, message.rows, message.revision)
-            for distributor, names in self.board.joined(session.name, message.joined).items():
+            for distributor, names in self.board.instances_joined(
+                session.name, message.joined
+            ).items():
                 self.source.send_moved(distributor, names)
         else:
             return
--- a/tansywood/admin/report_calls.py
+++ b/tansywood/admin/report_calls.py
@@ -8,7 +8,7 @@
 from starlette.responses import Response
 
 from tansywood.admin.calls import PAGE, PAGE_MOST, WAIT_MOST_S, Call, whole_number
-from tansywood.distribution.rollout import Summary
+from tansywood.distribution.rollout import RolloutSummary
 from tansywood.service.report import with_percentiles
 from tansywood.tenancy.model import nothing
 from tansywood.tenancy.registry import Refused
@@ -84,7 +84,7 @@
     return call.answer(_rollout(call, summary))
 
 
-def _rollout(call: Call, summary: Summary) -> dict[str, Any]:
+def _rollout(call: Call, summary: RolloutSummary) -> dict[str, Any]:
     record: dict[str, Any] = {
         "complete": summary.complete,
         "nodes": {
--- a/tansywood/distribution/distributor.py
+++ b/tansywood/distribution/distributor.py
@@ -41,10 +41,10 @@
 from tansywood.fleet.seal import KeyFileError
 from windrelay.config import Address, parse_address
 
-REPORT_S = 0.1  # between sums of rollouts that are sent upwards
-COUNTERS_S = 1.0  # between two writings of the counters
-ROWS_MOST = 1024  # of one message of rollouts: messages.Rollouts
-JOINED_MOST = 4096
+REPORT_INTERVAL_S = 0.1  # between sums of rollouts that are sent upwards
+COUNTERS_INTERVAL_S = 1.0  # between two writings of the counters
+MAX_ROWS_PER_MESSAGE = 1024  # of one message of rollouts: messages.Rollouts
+MAX_JOINED_PER_MESSAGE = 4096
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +107,9 @@
         subscriber = Subscriber(
             name, publishers, self.replica, parameters, random, now, everything=True
         )
-        self.client = SubscriberClient(subscriber, keys, fleet, self._handle, self._overheard)
+        self.client = SubscriberClient(
+            subscriber, keys, fleet, self._handle_action, self._on_message
+        )
         self._on_ready: Callable[[], None] | None = on_ready
 
     async def start(self, listen: Address) -> Address:
@@ -126,7 +128,7 @@
             return
         news = self.source.report(time.monotonic_ns())
         if news is not None:
-            for message in pieces(news):
+            for message in split_report(news):
                 self.client.send(message)
 
     def counters(self) -> Counters:
@@ -157,7 +159,7 @@
 
     # ---- what the publisher says -----------------------------------------------------------
 
-    def _handle(self, action: Action) -> None:
+    def _handle_action(self, action: Action) -> None:
         now = time.monotonic_ns()
         if isinstance(action, Apply):
             if self.source.serving:  # before that there is nobody to be told
@@ -169,7 +171,7 @@
         elif isinstance(action, HistoryChanged):
             self.source.stop_serving()
 
-    def _overheard(self, message: Message) -> None:
+    def _on_message(self, message: Message) -> None:
         now = time.monotonic_ns()
         if isinstance(message, Welcome):
             self.source.reset_report()
@@ -184,19 +186,19 @@
         self.server.flush()
 
     def _begin_serving(self) -> None:
-        self.replica.set_floor(self.replica.revision)
+        self.replica.set_resumable_from(self.replica.revision)
         self.source.serving = True
         if self._on_ready is not None:
             on_ready, self._on_ready = self._on_ready, None
             on_ready()
 
 
-def pieces(news: Rollouts) -> Iterator[Rollouts]:
+def split_report(news: Rollouts) -> Iterator[Rollouts]:
     """A report as messages that are no longer than the protocol takes."""
     rows, joined = news.rows, news.joined
-    while len(rows) > ROWS_MOST or len(joined) > JOINED_MOST:
-        yield Rollouts(rows[:ROWS_MOST], joined[:JOINED_MOST])
-        rows, joined = rows[ROWS_MOST:], joined[JOINED_MOST:]
+    while len(rows) > MAX_ROWS_PER_MESSAGE or len(joined) > MAX_JOINED_PER_MESSAGE:
+        yield Rollouts(rows[:MAX_ROWS_PER_MESSAGE], joined[:MAX_JOINED_PER_MESSAGE])
+        rows, joined = rows[MAX_ROWS_PER_MESSAGE:], joined[MAX_JOINED_PER_MESSAGE:]
     yield Rollouts(rows, joined, news.revision)
 
 
@@ -232,11 +234,13 @@
     log(f"listening at {address.host}:{address.port}")
     on_start(distributor)
     loop = asyncio.get_running_loop()
-    tasks = [loop.create_task(_repeat(REPORT_S, distributor.report))]
+    tasks = [loop.create_task(_run_periodically(REPORT_INTERVAL_S, distributor.report))]
     if settings.counters is not None:
         path = settings.counters
         tasks.append(
-            loop.create_task(_repeat(COUNTERS_S, lambda: write_counters(path, distributor)))
+            loop.create_task(
+                _run_periodically(COUNTERS_INTERVAL_S, lambda: write_counters(path, distributor))
+            )
         )
     for task in tasks:
         task.add_done_callback(lambda task: _stop_on_failure(task, ended))
@@ -250,12 +254,12 @@
 
 def write_counters(path: Path, distributor: Distributor) -> None:
     """One line of JSON in place of the one before; whoever reads finds a whole one."""
-    fresh = path.with_name(f".{path.name}.{os.getpid()}")
-    fresh.write_text(json.dumps(asdict(distributor.counters())) + "\n")
-    fresh.replace(path)
+    temporary = path.with_name(f".{path.name}.{os.getpid()}")
+    temporary.write_text(json.dumps(asdict(distributor.counters())) + "\n")
+    temporary.replace(path)
 
 
-async def _repeat(seconds: float, work: Callable[[], None]) -> None:
+async def _run_periodically(seconds: float, work: Callable[[], None]) -> None:
     while True:
         await asyncio.sleep(seconds)
         work()
--- a/tansywood/distribution/replica.py
+++ b/tansywood/distribution/replica.py
@@ -20,8 +20,8 @@
     digest_of,
 )
 
-REMEMBERED_MOST = 50_000  # revisions of what is not held any more
-UNKNOWN = -1  # the revision of what was taken in another history: anything is newer
+MAX_ABSENT_REVISIONS = 50_000  # revisions of what is not held any more
+UNKNOWN_REVISION = -1  # the revision of what was taken in another history: anything is newer
 
 
 @dataclass(slots=True)
@@ -40,20 +40,28 @@
     `parent` is where this epoch began: whoever stood at or before it has the same history.
     """
 
-    def __init__(self, window: int, epoch: Epoch | None = None, revision: int = 0) -> None:
+    def __init__(
+        self, max_recent_changes: int, epoch: Epoch | None = None, revision: int = 0
+    ) -> None:
         """`window` is how many recent changes are remembered."""
         self.epoch = epoch or Epoch()
         self.revision = revision
-        self.newest = revision  # of all that was taken in this history
-        self.whole = revision  # here all was held in its state of this revision, or a later one
+        self.newest_revision = revision  # of all that was taken in this history
+        self.consistent_revision = (
+            revision  # here all was held in its state of this revision, or a later one
+        )
         self.parent = Position()
         self.entries: dict[str, Entry] = {}
         self.aliases: dict[str, str] = {}
-        self._window: deque[tuple[int, str]] = deque()
-        self._window_most = window
-        self._floor = revision  # the window knows of all changes behind this revision
-        self._gone: OrderedDict[str, int] = OrderedDict()  # the last revision known of each
-        self._gone_before: OrderedDict[str, None] = OrderedDict()  # the same of earlier histories
+        self._recent_changes: deque[tuple[int, str]] = deque()
+        self._max_recent_changes = max_recent_changes
+        self._resumable_from = revision  # the window knows of all changes behind this revision
+        self._absent_revisions: OrderedDict[str, int] = (
+            OrderedDict()
+        )  # the last revision known of each
+        self._absent_in_earlier_epochs: OrderedDict[str, None] = (
+            OrderedDict()
+        )  # the same of earlier histories
 
     @property
     def position(self) -> Position:
@@ -66,7 +74,9 @@
         it may have been created since, and have changed again so that it still waits for us."""
         entry = self.entries.get(uid)
         if entry is None:
-            return Resource(uid, self._gone.get(uid, self.whole), Kind.REMOVED)
+            return Resource(
+                uid, self._absent_revisions.get(uid, self.consistent_revision), Kind.REMOVED
+            )
         aliases = list(entry.aliases) if with_aliases else []
         return Resource(uid, entry.revision, Kind.CONTENT, entry.body, aliases)
 
@@ -82,7 +92,7 @@
     def may_have_held_newer(self, uid: str, revision: int) -> bool:
         """Whether a source at this revision may know an older state than what was held, and given
         up, before this history: it has not come up to where the history began."""
-        return uid in self._gone_before and revision < self.parent.revision
+        return uid in self._absent_in_earlier_epochs and revision < self.parent.revision
 
     def covers(self, position: Position, newest: int = 0) -> bool:
         """Whether `changes_behind` can tell all that was missed since a position by one who
@@ -90,22 +100,22 @@
 
         Revision 0 is that of a subscriber that knows nothing, or not of what it still holds.
         """
-        if position.revision < max(self._floor, 1):
+        if position.revision < max(self._resumable_from, 1):
             return False
         if position.epoch == self.epoch:
             return True
-        reached = max(position.revision, newest)
-        return position.epoch == self.parent.epoch and reached <= self.parent.revision
+        newest_known = max(position.revision, newest)
+        return position.epoch == self.parent.epoch and newest_known <= self.parent.revision
 
-    def changes_behind(self, revision: int) -> list[tuple[int, str]]:
+    def changes_after(self, revision: int) -> list[tuple[int, str]]:
         """Each resource that has changed behind a covered revision, once, in the order of its
         last change."""
         latest: dict[str, int] = {}
-        for changed, uid in reversed(self._window):
-            if changed <= revision:
+        for changed_revision, uid in reversed(self._recent_changes):
+            if changed_revision <= revision:
                 break
-            latest.setdefault(uid, changed)
-        return [(changed, uid) for uid, changed in reversed(latest.items())]
+            latest.setdefault(uid, changed_revision)
+        return [(changed_revision, uid) for uid, changed_revision in reversed(latest.items())]
 
     # ---- changing --------------------------------------------------------------------------
 
@@ -114,126 +124,132 @@
         self.epoch = epoch
         self.parent = parent
 
-    def forget_history(self, epoch: Epoch, parent: Position) -> None:
+    def switch_history(self, epoch: Epoch, parent: Position) -> None:
         """Go over to an epoch of another history: revisions of the old one say nothing in it.
 
         What is held stays until a comparison has told which of it still holds.
         """
         self.epoch = epoch
         self.parent = parent
-        self.newest = 0
-        self.lose_place()
-        self._gone_before.update(dict.fromkeys(self._gone))
-        while len(self._gone_before) > REMEMBERED_MOST:
-            self._gone_before.popitem(last=False)
-        self._gone.clear()
+        self.newest_revision = 0
+        self.reset_position()
+        self._absent_in_earlier_epochs.update(dict.fromkeys(self._absent_revisions))
+        while len(self._absent_in_earlier_epochs) > MAX_ABSENT_REVISIONS:
+            self._absent_in_earlier_epochs.popitem(last=False)
+        self._absent_revisions.clear()
         for entry in self.entries.values():
-            entry.revision = UNKNOWN
+            entry.revision = UNKNOWN_REVISION
 
-    def lose_place(self) -> None:
+    def reset_position(self) -> None:
         """Changes were missed that nobody can tell any more: only a comparison helps, and who
         follows us can't resume behind what we know until it is over."""
         self.revision = 0
-        self.whole = 0
-        self._floor = 0
-        self._window.clear()
+        self.consistent_revision = 0
+        self._resumable_from = 0
+        self._recent_changes.clear()
 
-    def take(self, resource: Resource) -> bool:
+    def apply(self, resource: Resource) -> bool:
         """Take a state of this epoch; False where ours is as new, so that nothing changes.
 
         That something is removed which we never held is news as well: a subscriber of ours
         may have got it from another source.
         """
         entry = self.entries.get(resource.uid)
-        known = entry.revision if entry is not None else self._gone.get(resource.uid, UNKNOWN)
+        known = (
+            entry.revision
+            if entry is not None
+            else self._absent_revisions.get(resource.uid, UNKNOWN_REVISION)
+        )
         if resource.kind is Kind.UNCHANGED:
             if entry is not None and resource.revision >= entry.revision:
                 entry.revision = resource.revision
-                self.newest = max(self.newest, entry.revision)
-                self._bind(resource.uid, entry)  # another may have had them in the old history
+                self.newest_revision = max(self.newest_revision, entry.revision)
+                self._bind_aliases(
+                    resource.uid, entry
+                )  # another may have had them in the old history
             return False
         if resource.revision <= known:
             return False
         if resource.kind is Kind.REMOVED:
-            self._drop(resource.uid, resource.revision)
+            self._remove(resource.uid, resource.revision)
         else:
-            self._put(resource)
+            self._store(resource)
         return True
 
-    def record(self, revision: int, uid: str) -> None:
+    def record_change(self, revision: int, uid: str) -> None:
         """Remember a change, for those who resume behind it. Revisions only grow: where one
         does not, nobody may resume behind what came before it."""
-        if self._window and revision < self._window[-1][0]:
-            self._floor = max(self._floor, self._window[-1][0])
-            self._window.clear()
+        if self._recent_changes and revision < self._recent_changes[-1][0]:
+            self._resumable_from = max(self._resumable_from, self._recent_changes[-1][0])
+            self._recent_changes.clear()
             return
-        self._window.append((revision, uid))
-        if len(self._window) > self._window_most:
-            forgotten, _ = self._window.popleft()
-            self._floor = max(self._floor, forgotten)
+        self._recent_changes.append((revision, uid))
+        if len(self._recent_changes) > self._max_recent_changes:
+            forgotten, _ = self._recent_changes.popleft()
+            self._resumable_from = max(self._resumable_from, forgotten)
 
     def commit(self, resource: Resource) -> None:
         """A change of the publisher's own: take it, remember it, and stand there."""
-        self.take(resource)
-        self.record(resource.revision, resource.uid)
-        self.advance(resource.revision, whole=True)
+        self.apply(resource)
+        self.record_change(resource.revision, resource.uid)
+        self.advance(resource.revision, consistent=True)
 
-    def set_floor(self, revision: int) -> None:
+    def set_resumable_from(self, revision: int) -> None:
         """Say from where on all changes have been recorded."""
-        self._floor = revision
+        self._resumable_from = revision
 
-    def advance(self, revision: int, whole: bool = False) -> None:
+    def advance(self, revision: int, consistent: bool = False) -> None:
         """All that is held now holds up to there, but for what has changed behind it as well;
         with `whole` for that too."""
-        if whole:
-            self.whole = max(self.whole, revision)
+        if consistent:
+            self.consistent_revision = max(self.consistent_revision, revision)
         self.revision = max(self.revision, revision)
-        self.newest = max(self.newest, revision)
+        self.newest_revision = max(self.newest_revision, revision)
 
     def step_back(self, revision: int) -> None:
         """Something was taken that holds only up to there: resume from there."""
         self.revision = min(self.revision, revision)
 
-    def give_up(self, uid: str) -> None:
+    def release(self, uid: str) -> None:
         """Hold a resource no longer; how new it was stays known, so that an older state of it
         is not taken when it is asked for again."""
         entry = self.entries.get(uid)
         if entry is not None:
-            self._drop(uid, entry.revision - 1)  # the same state again is as good
+            self._remove(uid, entry.revision - 1)  # the same state again is as good
 
     def load(self, resources: Iterable[Resource]) -> None:
         """Fill an empty replica, in any order."""
         for resource in resources:
-            self._put(resource)
+            self._store(resource)
 
-    def _put(self, resource: Resource) -> None:
+    def _store(self, resource: Resource) -> None:
         old = self.entries.get(resource.uid)
         if old is not None:
-            self._unbind(resource.uid, old)
-        self._gone.pop(resource.uid, None)
-        self._gone_before.pop(resource.uid, None)
-        self.newest = max(self.newest, resource.revision)
+            self._unbind_aliases(resource.uid, old)
+        self._absent_revisions.pop(resource.uid, None)
+        self._absent_in_earlier_epochs.pop(resource.uid, None)
+        self.newest_revision = max(self.newest_revision, resource.revision)
         entry = Entry(
             resource.revision, digest_of(resource.body), resource.body, tuple(resource.aliases)
         )
         self.entries[resource.uid] = entry
-        self._bind(resource.uid, entry)
+        self._bind_aliases(resource.uid, entry)
 
-    def _drop(self, uid: str, revision: int) -> None:
+    def _remove(self, uid: str, revision: int) -> None:
         entry = self.entries.pop(uid, None)
         if entry is not None:
-            self._unbind(uid, entry)
-        self.newest = max(self.newest, revision)
-        self._gone[uid] = revision
-        self._gone.move_to_end(uid)
-        if len(self._gone) > REMEMBERED_MOST:
-            self._gone.popitem(last=False)
-
-    def _bind(self, uid: str, entry: Entry) -> None:
+            self._unbind_aliases(uid, entry)
+        self.newest_revision = max(self.newest_revision, revision)
+        self._absent_revisions[uid] = revision
+        self._absent_revisions.move_to_end(uid)
+        if len(self._absent_revisions) > MAX_ABSENT_REVISIONS:
+            self._absent_revisions.popitem(last=False)
+
+    def _bind_aliases(self, uid: str, entry: Entry) -> None:
         for alias in entry.aliases:
             self.aliases[alias] = uid
 
-    def _unbind(self, uid: str, entry: Entry) -> None:
+    def _unbind_aliases(self, uid: str, entry: Entry) -> None:
         for alias in entry.aliases:
             if self.aliases.get(alias) == uid:  # it may be another's by now
                 del self.aliases[alias]
--- a/tansywood/distribution/rollout.py
+++ b/tansywood/distribution/rollout.py
@@ -12,12 +12,12 @@
 
 from tansywood.distribution.messages import Rollout
 
-FOLLOWED = 512  # changes whose sums are kept
-NAMED = 20  # instances named of one change
+MAX_TRACKED_CHANGES = 512  # changes whose sums are kept
+MAX_NAMED_INSTANCES = 20  # instances named of one change
 
 
 @dataclass(frozen=True, slots=True)
-class Summary:
+class RolloutSummary:
     """One change over all distributors. `complete` where nobody is known to lack it."""
 
     uid: str
@@ -38,24 +38,26 @@
 @dataclass(slots=True)
 class _Distributor:
     connections: int = 0  # a new one may be there before the end of the old one is known
-    told_elsewhere: bool = False  # which instances are at others
-    reported: int = 0  # the revision up to which it has told its sums
+    sent_instances_elsewhere: bool = False  # which instances are at others
+    reported_revision: int = 0  # the revision up to which it has told its sums
     rows: OrderedDict[str, Rollout] = field(default_factory=OrderedDict)  # of each uid's last
 
 
-class RolloutBoard:
+class RolloutTracker:
     """Sums by change; the latest of each tenant is what counts."""
 
     def __init__(self) -> None:
         self._distributors: dict[str, _Distributor] = {}
-        self._at: dict[str, str] = {}  # which distributor an instance came to last
+        self._distributor_by_instance: dict[
+            str, str
+        ] = {}  # which distributor an instance came to last
 
     def connected(self, distributor: str) -> None:
         """Its sums are told anew: it may have been started again, and lack what it had."""
         known = self._distributors.setdefault(distributor, _Distributor())
         known.connections += 1
-        known.reported = 0
-        known.told_elsewhere = False
+        known.reported_revision = 0
+        known.sent_instances_elsewhere = False
 
     def disconnected(self, distributor: str) -> None:
         """Its last words stay: its instances may lack what comes now, until they are heard of."""
@@ -69,47 +71,51 @@
         for row in rows:
             known.rows[row.uid] = row
             known.rows.move_to_end(row.uid)
-        while len(known.rows) > FOLLOWED:
+        while len(known.rows) > MAX_TRACKED_CHANGES:
             known.rows.popitem(last=False)
-        known.reported = revision or known.reported
+        known.reported_revision = revision or known.reported_revision
 
-    def joined(self, distributor: str, names: Iterable[str]) -> dict[str, list[str]]:
+    def instances_joined(self, distributor: str, names: Iterable[str]) -> dict[str, list[str]]:
         """Instances have come to a distributor; returns whom to tell that they left there.
 
         Where an instance was before may not be known, as after a start: then all others are told.
         """
-        tell: dict[str, list[str]] = {}
+        departures: dict[str, list[str]] = {}
         others = [other for other in self._distributors if other != distributor]
         for name in names:
-            before = self._at.get(name)
-            self._at[name] = distributor
-            for other in others if before is None else [before]:
+            previous = self._distributor_by_instance.get(name)
+            self._distributor_by_instance[name] = distributor
+            for other in others if previous is None else [previous]:
                 if other != distributor:
-                    tell.setdefault(other, []).append(name)
+                    departures.setdefault(other, []).append(name)
         known = self._distributors.setdefault(distributor, _Distributor())
-        if not known.told_elsewhere:
-            known.told_elsewhere = True
-            elsewhere = [name for name, at in self._at.items() if at != distributor]
+        if not known.sent_instances_elsewhere:
+            known.sent_instances_elsewhere = True
+            elsewhere = [
+                name
+                for name, current_distributor in self._distributor_by_instance.items()
+                if current_distributor != distributor
+            ]
             if elsewhere:
-                tell[distributor] = elsewhere
-        return tell
+                departures[distributor] = elsewhere
+        return departures
 
-    def summary(self, uid: str, revision: int) -> Summary:
+    def summary(self, uid: str, revision: int) -> RolloutSummary:
         """Of one change. A distributor counts as waiting until it has told its sums of it: that
         it has the change itself says nothing of its instances. One that has gone counts as
         waiting while it was the last that some instance came to. Where the tenant has changed again
         since, the sums are those of its later change: who lacks that may lack this one as well."""
-        have = waiting = refused = has = 0
+        have = waiting = refused = reported_count = 0
         lagging: list[str] = []
         refusing: list[tuple[str, str]] = []
-        late: list[str] = []
-        served = set(self._at.values())
+        unreported: list[str] = []
+        distributors_in_use = set(self._distributor_by_instance.values())
         for name, distributor in sorted(self._distributors.items()):
-            if distributor.reported < revision or not distributor.connections:
-                if distributor.connections or name in served:
-                    late.append(name)
+            if distributor.reported_revision < revision or not distributor.connections:
+                if distributor.connections or name in distributors_in_use:
+                    unreported.append(name)
                 continue
-            has += 1
+            reported_count += 1
             row = distributor.rows.get(uid)
             if row is not None and row.revision >= revision:
                 have += row.have
@@ -117,14 +123,14 @@
                 refused += row.refused
                 lagging += row.lagging
                 refusing += row.refusing
-        return Summary(
+        return RolloutSummary(
             uid,
             revision,
             have,
             waiting,
             refused,
-            tuple(lagging[:NAMED]),
-            tuple(refusing[:NAMED]),
-            has,
-            tuple(late),
+            tuple(lagging[:MAX_NAMED_INSTANCES]),
+            tuple(refusing[:MAX_NAMED_INSTANCES]),
+            reported_count,
+            tuple(unreported),
         )
--- a/tansywood/distribution/settings.py
+++ b/tansywood/distribution/settings.py
@@ -12,9 +12,9 @@
 from tansywood.tenancy.fault import Fault
 from tansywood.tenancy.schema import ADDRESS, NAME, whole
 
-TENANTS = 500  # that an instance holds at most, where its settings don't say
-IDLE_S = 600  # after which a tenant that nobody asks for is given up
-MOST_SOURCES = 64
+DEFAULT_MAX_TENANTS = 500  # that an instance holds at most, where its settings don't say
+DEFAULT_IDLE_S = 600  # after which a tenant that nobody asks for is given up
+MAX_SOURCES = 64
 
 
 class Role(Enum):
@@ -28,7 +28,7 @@
 _ADDRESSES: dict[str, Any] = {
     "type": "array",
     "minItems": 1,
-    "maxItems": MOST_SOURCES,
+    "maxItems": MAX_SOURCES,
     "uniqueItems": True,
     "items": {"type": "string", "pattern": ADDRESS},
 }
@@ -45,23 +45,25 @@
         "listen": {"type": "string", "pattern": ADDRESS, "description": "not for a node"},
         "publisher": _ADDRESSES | {"description": "for a distributor: whom it follows"},
         "control": _ADDRESSES | {"description": "for a node: all distributors"},
-        "tenants": whole(1, MAX_SUBSCRIPTIONS, f"that a node holds at most; {TENANTS}"),
-        "idle_s": whole(5, 86_400, f"after which a tenant not asked for is given up; {IDLE_S}"),
+        "tenants": whole(1, MAX_SUBSCRIPTIONS, f"that a node holds at most; {DEFAULT_MAX_TENANTS}"),
+        "idle_s": whole(
+            5, 86_400, f"after which a tenant not asked for is given up; {DEFAULT_IDLE_S}"
+        ),
     },
 }
 
 # What each role's section has to have, and may have, beside what all have.
-_NEEDS: dict[Role, tuple[str, ...]] = {
+_REQUIRED_KEYS: dict[Role, tuple[str, ...]] = {
     Role.PUBLISHER: ("listen",),
     Role.DISTRIBUTOR: ("listen", "publisher"),
     Role.NODE: ("control",),
 }
-_MAY: dict[Role, tuple[str, ...]] = {
+_OPTIONAL_KEYS: dict[Role, tuple[str, ...]] = {
     Role.PUBLISHER: (),
     Role.DISTRIBUTOR: (),
     Role.NODE: ("tenants", "idle_s"),
 }
-_OF_ROLES = ("listen", "publisher", "control", "tenants", "idle_s")
+_ROLE_KEYS = ("listen", "publisher", "control", "tenants", "idle_s")
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,8 +77,8 @@
     listen: str = ""
     publisher: tuple[str, ...] = ()
     control: tuple[str, ...] = ()
-    tenants: int = TENANTS
-    idle_s: int = IDLE_S
+    tenants: int = DEFAULT_MAX_TENANTS
+    idle_s: int = DEFAULT_IDLE_S
 
 
 def read(raw: Mapping[str, Any], folder: Path) -> DistributionSettings:
@@ -89,16 +91,16 @@
         raw.get("listen", ""),
         tuple(raw.get("publisher", ())),
         tuple(raw.get("control", ())),
-        raw.get("tenants", TENANTS),
-        raw.get("idle_s", IDLE_S),
+        raw.get("tenants", DEFAULT_MAX_TENANTS),
+        raw.get("idle_s", DEFAULT_IDLE_S),
     )
 
 
 def role_of(raw: Mapping[str, Any]) -> Role | None:
     """The role that a file's words give, None where they give none, or one that is not known."""
     section = raw.get("distribution")
-    words = section.get("role") if isinstance(section, dict) else None
-    return Role(words) if words in [role.value for role in Role] else None
+    value = section.get("role") if isinstance(section, dict) else None
+    return Role(value) if value in [role.value for role in Role] else None
 
 
 def faults(raw: Mapping[str, Any]) -> list[Fault]:
@@ -108,12 +110,12 @@
         return []
     found = [
         Fault(f"/distribution/{key}", f"is missing: a {role.value} needs it")
-        for key in _NEEDS[role]
+        for key in _REQUIRED_KEYS[role]
         if key not in raw
     ]
     found += [
         Fault(f"/distribution/{key}", f"is not for a {role.value}", "leave it out")
-        for key in _OF_ROLES
-        if key in raw and key not in (*_NEEDS[role], *_MAY[role])
+        for key in _ROLE_KEYS
+        if key in raw and key not in (*_REQUIRED_KEYS[role], *_OPTIONAL_KEYS[role])
     ]
     return found
--- a/tansywood/distribution/source.py
+++ b/tansywood/distribution/source.py
@@ -254,7 +254,7 @@
             if not session.welcomed or session.closing:
                 continue
             compare = session.comparing or max(session.newest_held, session.progress) > parent
-            if compare and self.replica.whole < parent:
+            if compare and self.replica.consistent_revision < parent:
                 self._end_session(session, Busy(NOT_READY_RETRY_MS, BEHIND_EPOCH_REASON))
                 continue
             if compare:
@@ -435,7 +435,7 @@
         position = self._resume_position(hello)
         compare = not self.replica.covers(position, hello.newest)
         holds = subscriber_epoch != Epoch() or bool(hello.subscriptions)
-        if compare and holds and self.replica.whole < self.replica.parent.revision:
+        if compare and holds and self.replica.consistent_revision < self.replica.parent.revision:
             self._end_session(session, Busy(NOT_READY_RETRY_MS, BEHIND_EPOCH_REASON))
             return
         if (
@@ -528,7 +528,7 @@
     def _resume(self, session: Session, revision: int) -> None:
         session.progress = min(revision, self.replica.revision)
         if session.everything:
-            missed = self.replica.changes_behind(revision)
+            missed = self.replica.changes_after(revision)
         else:
             missed = self._subscribed_changes_after(session, revision)
         for changed, uid in missed:
@@ -545,7 +545,7 @@
         if entry is not None:
             return entry.revision
         # A removal that is known may be that of an earlier one: where we were whole it was not.
-        return max(self.replica.resource(uid).revision, self.replica.whole)
+        return max(self.replica.resource(uid).revision, self.replica.consistent_revision)
 
     def _on_versions(self, session: Session, versions: Versions) -> None:
         if not session.comparing:
--- a/tansywood/distribution/subscriber.py
+++ b/tansywood/distribution/subscriber.py
@@ -208,7 +208,13 @@
         only_fresh = self._stale_switches_left > 0
         position = replica.position
         hello = Hello(
-            self.name, self.everything, position, held, replica.newest, only_fresh, replica.whole
+            self.name,
+            self.everything,
+            position,
+            held,
+            replica.newest_revision,
+            only_fresh,
+            replica.consistent_revision,
         )
         self._send(hello, now)
 
@@ -319,7 +325,7 @@
         if welcome.position.epoch > replica.epoch:
             self._change_epoch(welcome)
         elif welcome.compare and self.everything:
-            replica.lose_place()
+            replica.reset_position()
             self.actions.append(HistoryChanged())
         if welcome.compare:
             self._send_versions(now)
@@ -344,11 +350,11 @@
                 batch.obsolete = True
             for uid, refusal in self._current_refusals.items():
                 self._current_refusals[uid] = Refusal(uid, 0, refusal.reason)
-            replica.forget_history(welcome.position.epoch, welcome.parent)
+            replica.switch_history(welcome.position.epoch, welcome.parent)
             self.actions.append(HistoryChanged())
         else:
             replica.begin_epoch(welcome.position.epoch, welcome.parent)
-            self._acknowledge_at_most(replica.whole)
+            self._acknowledge_at_most(replica.consistent_revision)
             self.actions.append(EpochContinued())
 
     def _send_versions(self, now: int) -> None:
@@ -375,10 +381,10 @@
     ) -> None:
         """Take what is newer than ours, and have it put into force. `answered` is the lookup that
         found it."""
-        taken = [r for r in resources if self.replica.take(r)]
+        taken = [r for r in resources if self.replica.apply(r)]
         if self.everything:
             for resource in taken:
-                self.replica.record(resource.revision, resource.uid)
+                self.replica.record_change(resource.revision, resource.uid)
         self._refuse_unchanged(resources)
         uids = tuple(resource.uid for resource in taken)
         batch = _Batch(self._next_batch, progress, uids, answered, done=not uids)
@@ -545,7 +551,7 @@
     def unsubscribe(self, uids: Sequence[str], now: int) -> None:
         """Hold these no longer."""
         for uid in uids:
-            self.replica.give_up(uid)
+            self.replica.release(uid)
             self._current_refusals.pop(uid, None)
             self._unsent_refusals.pop(uid, None)
         self._unsubscribe(uids, now)
@@ -599,7 +605,7 @@
         if number is None:
             return
         question = self._open_lookups[number]
-        behind = found.revision < self.replica.newest
+        behind = found.revision < self.replica.newest_revision
         if all(uid in held if uid else not behind for uid in found.uids):
             del self._open_lookups[number]
             self.actions.append(Answer(number, tuple(found.uids)))
--- a/tansywood/service/agent.py
+++ b/tansywood/service/agent.py
@@ -24,7 +24,7 @@
 
 from tansywood.admin.feed import Feed
 from tansywood.distribution.client import SubscriberClient
-from tansywood.distribution.interest import Asker, Interest, State
+from tansywood.distribution.interest import Interest, Requester, State
 from tansywood.distribution.messages import (
     Position,
     Refusal,
@@ -185,7 +185,7 @@
 
     def joined(self, name: str, held: list[str], seq: int) -> None:
         self._followers.add(name)
-        self.interest.forget_askers(name)
+        self.interest.forget_requests(name)
         self.releases.call_off_all()
         self.restore.joined(name, seq)
         wanted = (
@@ -197,7 +197,7 @@
             self.feed.tell(DOOR, {"nobodys": sorted(self._nobodys)})
 
     def left(self, name: str) -> None:
-        self.interest.forget_askers(name)
+        self.interest.forget_requests(name)
         self.releases.call_off_all()
 
     def heard(self, name: str, message: dict[str, Any]) -> None:
@@ -210,7 +210,7 @@
         elif "refused" in message:
             self._refused_by(name, message)
         used = (*message.get("used", ()), *message.get("reports", ()))
-        self.interest.use(used, time.monotonic_ns())
+        self.interest.mark_used(used, time.monotonic_ns())
 
     def _refused_by(self, name: str, message: dict[str, Any]) -> None:
         """A follower can't take over a state that could be read: all go back to the one before,
@@ -242,12 +242,12 @@
         else:
             self._look_up(asker, message["aliases"])
 
-    def _look_up(self, asker: Asker, aliases: Sequence[str], urgent: bool = False) -> None:
-        asked = self.interest.ask(asker, aliases, time.monotonic_ns(), urgent)
-        for uid in asked.keep:
+    def _look_up(self, asker: Requester, aliases: Sequence[str], urgent: bool = False) -> None:
+        asked = self.interest.resolve(asker, aliases, time.monotonic_ns(), urgent)
+        for uid in asked.evictions_to_cancel:
             self.releases.call_off(uid)
-        if asked.look_up:
-            opened = asked.look_up
+        if asked.aliases_to_look_up:
+            opened = asked.aliases_to_look_up
             self._ask_control(opened, partial(self._answered, opened))
         if asked.state is not None:
             self._tell(asker, asked.state)
@@ -256,10 +256,10 @@
         self._questions[self.client.lookup(list(aliases))] = answered
 
     def _answered(self, aliases: Sequence[str], uids: Sequence[str] | None) -> None:
-        for asker, state in self.interest.answered(aliases, uids, time.monotonic_ns()):
+        for asker, state in self.interest.complete_lookup(aliases, uids, time.monotonic_ns()):
             self._tell(asker, state)
 
-    def _tell(self, asker: Asker, state: State) -> None:
+    def _tell(self, asker: Requester, state: State) -> None:
         name, number = asker
         if name != OWN:
             self.feed.tell(name, {"answer": number, "state": state.value})
@@ -277,7 +277,7 @@
 
     def _know_listeners(self) -> None:
         """Tell the door which of them are known to be nobody's: it need not ask for those."""
-        nobodys = {n for n in self.listeners if self.interest.is_nobodys(alias_of_listener(n))}
+        nobodys = {n for n in self.listeners if self.interest.is_unassigned(alias_of_listener(n))}
         if nobodys != self._nobodys:
             self._nobodys = nobodys
             self.feed.tell(DOOR, {"nobodys": sorted(nobodys)})
@@ -285,12 +285,12 @@
     # ---- giving up ---------------------------------------------------------------------------
 
     def _give_up(self, now: int) -> None:
-        for uid in self.interest.to_give_up(now):
+        for uid in self.interest.select_evictions(now):
             self.releases.begin(uid, self.feed.followers(), now)
 
     def _given_up(self, uid: str) -> None:
         """Nobody on this node has it any more."""
-        self.interest.given_up(uid)
+        self.interest.finish_eviction(uid)
         self.views.drop(uid)
         self.refused.pop(uid, None)
         self.feed.reports.pop(uid, None)
@@ -298,7 +298,7 @@
         self.client.unsubscribe([uid])
 
     def _called_off(self, uid: str) -> None:
-        self.interest.kept(uid, time.monotonic_ns())
+        self.interest.cancel_eviction(uid, time.monotonic_ns())
         if uid in self.views.newest:
             self._publish(uid, self.views.newest[uid].for_feed())
 
@@ -349,10 +349,10 @@
             "revision": position.revision,
             "age_ms": None if age is None else age // MS,
             "tenants": len(self.views.newest),
-            "bound": self.interest.bound,
-            "lookups_open": self.interest.lookups_open,
-            "waiting": self.interest.waiting,
-            "unknown_cached": self.interest.unknown_cached,
+            "bound": self.interest.max_tenants,
+            "lookups_open": self.interest.open_lookups,
+            "waiting": self.interest.waiting_requests,
+            "unknown_cached": self.interest.cached_unknown_count,
             "counts": dict(self.interest.counts),
             "refused_views": {uid: refusal.reason for uid, refusal in self.refused.items()},
             "refused_messages": dict(self.client.refused),
--- a/tests/admin/test_publisher.py
+++ b/tests/admin/test_publisher.py
@@ -78,7 +78,7 @@
         again = await publishing(d.admin)
         assert again.replica.epoch > stood.epoch
         assert again.replica.covers(stood)
-        assert again.replica.changes_behind(stood.revision - 1) == [(stood.revision, uid)]
+        assert again.replica.changes_after(stood.revision - 1) == [(stood.revision, uid)]
         assert not again.replica.covers(Position(stood.epoch, stood.revision + 1))
 
     story(tmp_path, play)
--- a/tests/distribution/model/defences.py
+++ b/tests/distribution/model/defences.py
@@ -20,9 +20,9 @@
     """Resumes behind whatever position."""
 
     def covers(self, position: Position, newest: int = 0) -> bool:
-        floor, self._floor = self._floor, 0
+        floor, self._resumable_from = self._resumable_from, 0
         covered = super().covers(position, newest)
-        self._floor = floor
+        self._resumable_from = floor
         return covered
 
 
--- a/tests/distribution/model/distributor.py
+++ b/tests/distribution/model/distributor.py
@@ -78,7 +78,7 @@
         self.source.note_publisher_heard(self.now)
         self.flush()
         if self.replica.revision and not self.source.serving:
-            self.replica.set_floor(self.replica.revision)
+            self.replica.set_resumable_from(self.replica.revision)
             self.source.serving = True
         if isinstance(message, InstancesMoved):
             self.source.moved(message.names)
--- a/tests/distribution/model/judgement.py
+++ b/tests/distribution/model/judgement.py
@@ -68,7 +68,7 @@
     held = node.replica.entries.get(uid)
     if held is not None:
         return held.revision > revision
-    return node.replica._gone.get(uid, -1) >= revision
+    return node.replica._absent_revisions.get(uid, -1) >= revision
 
 
 def _require(world: World, holds: bool, what: str) -> None:
--- a/tests/distribution/model/publisher.py
+++ b/tests/distribution/model/publisher.py
@@ -15,7 +15,7 @@
     Resource,
     Rollouts,
 )
-from tansywood.distribution.rollout import RolloutBoard
+from tansywood.distribution.rollout import RolloutTracker
 from tansywood.distribution.source import Session
 from tests.distribution.model.network import Server
 from tests.distribution.model.parts import PUBLISHER, TENANTS
@@ -53,7 +53,7 @@
     def __init__(self, world: World) -> None:
         super().__init__(world, PUBLISHER)
         self.disk = Disk(Epoch(1, b"1"))
-        self.board = RolloutBoard()
+        self.board = RolloutTracker()
         self.copies: list[Disk] = []
         self.begin()
 
@@ -67,14 +67,14 @@
         forgotten = max(
             len(disk.changes) - random.randrange(self.world.parameters.max_resumable_changes + 1), 0
         )
-        self.replica.set_floor(forgotten)  # revisions count the changes
+        self.replica.set_resumable_from(forgotten)  # revisions count the changes
         for revision, uid in disk.changes[forgotten:]:
-            self.replica.record(revision, uid)
+            self.replica.record_change(revision, uid)
         self.replica.begin_epoch(disk.epoch, disk.parent)
         self.source = self.world.parts.source(
             self.replica, self.world.parameters, self.now, is_publisher=True
         )
-        self.board = RolloutBoard()
+        self.board = RolloutTracker()
         self.wires = {}
 
     def _resource(self, uid: str, content: Content) -> Resource:
@@ -113,7 +113,9 @@
     def overheard(self, session: Session, message: Message) -> None:
         if isinstance(message, Rollouts):
             self.board.report(session.name, message.rows, message.revision)
-            for distributor, names in self.board.joined(session.name, message.joined).items():
+            for distributor, names in self.board.instances_joined(
+                session.name, message.joined
+            ).items():
                 self.source.send_moved(distributor, names)
         elif isinstance(message, Hello) and session.welcomed:
             self.board.connected(session.name)
--- a/tests/distribution/simulation.py
+++ b/tests/distribution/simulation.py
@@ -41,7 +41,7 @@
     RUNS = "runs"
     SILENT = "silent"  # stopped, or cut off: nothing is answered, nothing is closed
     DEAD = "dead"  # its connections are closed, dials are refused
-    DEAF = "deaf"  # cut off from the publisher alone: it serves what it has
+    PUBLISHER_UNREACHABLE = "deaf"  # cut off from the publisher alone: it serves what it has
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,10 +80,10 @@
         simulation.after(0, self.tick)
 
     @property
-    def answers(self) -> bool:
-        return self.condition in (Condition.RUNS, Condition.DEAF)
+    def is_answering(self) -> bool:
+        return self.condition in (Condition.RUNS, Condition.PUBLISHER_UNREACHABLE)
 
-    def become(self, condition: Condition) -> None:
+    def set_condition(self, condition: Condition) -> None:
         self.condition = condition
         if condition is Condition.DEAD:
             for connection in list(self.connections.values()):
@@ -100,7 +100,7 @@
         now = self.simulation.now
         if self.condition is Condition.RUNS:
             self.core.note_publisher_heard(now)
-        if self.answers:
+        if self.is_answering:
             for number in self.core.tick(now):
                 self.connections[number].end()
             self.pump()
@@ -152,7 +152,7 @@
 
     def hang_up(self) -> None:
         """Closed at the subscriber's end; a source that answers hears of it."""
-        if self.source.answers and not self.subscriber.silent:
+        if self.source.is_answering and not self.subscriber.silent:
             self.source.simulation.after(LATENCY, self._close_source)
 
     def _close_source(self) -> bool:
@@ -163,11 +163,11 @@
         return was_open
 
     def _arrive_down(self, message: Message) -> None:
-        if self.source.answers and not self.subscriber.silent:
+        if self.source.is_answering and not self.subscriber.silent:
             self.subscriber.received(self, message)
 
     def _arrive_up(self, message: Message) -> None:
-        if self.open and self.source.answers and not self.subscriber.silent:
+        if self.open and self.source.is_answering and not self.subscriber.silent:
             self.source.received(self, message)
 
 
@@ -252,7 +252,7 @@
         if source.condition is Condition.DEAD:
             self.core.disconnected(action.attempt, self.simulation.now, "refused")
             self.flush()
-        elif source.answers:
+        elif source.is_answering:
             connection = source.accept(self, action.attempt)
             self.connections[action.attempt] = connection
             self.core.connected(action.attempt, self.simulation.now)
@@ -334,7 +334,7 @@
         self.now = until
 
 
-def most_in_a_window(times: Sequence[int], window: int) -> int:
+def max_in_window(times: Sequence[int], window: int) -> int:
     """How many of these lie within the busiest stretch of that length."""
     ordered = sorted(times)
     most = begin = 0
--- a/tests/distribution/test_cut_off.py
+++ b/tests/distribution/test_cut_off.py
@@ -25,7 +25,7 @@
     waiting: list[SimulatedSource] = list(simulation.sources.values())
     for condition, number in conditions.items():
         for _ in range(number):
-            waiting.pop().become(condition)
+            waiting.pop().set_condition(condition)
     simulation.run(committed_after)
     committed = simulation.now
     simulation.commit()
@@ -47,11 +47,11 @@
 def test_a_change_is_in_force_within_4_s_where_sources_don_t_hear_the_publisher(
     deaf: int, committed_after: int
 ) -> None:
-    assert in_force_with({Condition.DEAF: deaf}, committed_after) <= IN_FORCE
+    assert in_force_with({Condition.PUBLISHER_UNREACHABLE: deaf}, committed_after) <= IN_FORCE
 
 
 def test_a_change_is_in_force_within_4_s_where_some_are_cut_off_and_others_hear_nothing() -> None:
-    assert in_force_with({Condition.SILENT: 2, Condition.DEAF: 2}) <= IN_FORCE
+    assert in_force_with({Condition.SILENT: 2, Condition.PUBLISHER_UNREACHABLE: 2}) <= IN_FORCE
 
 
 def in_force_after_the_publisher_was_away(away: int) -> int:
@@ -61,10 +61,10 @@
     simulation.add_subscribers(720)
     simulation.connect_all(4 * SECOND)
     for source in simulation.sources.values():
-        source.become(Condition.DEAF)
+        source.set_condition(Condition.PUBLISHER_UNREACHABLE)
     simulation.run(away)
     for source in simulation.sources.values():
-        source.become(Condition.RUNS)
+        source.set_condition(Condition.RUNS)
     committed = simulation.now
     simulation.commit()
     simulation.run(8 * SECOND)
@@ -83,12 +83,12 @@
     simulation.connect_all(2 * SECOND)
     simulation.records.dials.clear()
     for source in simulation.sources.values():
-        source.become(Condition.SILENT)
+        source.set_condition(Condition.SILENT)
     simulation.run(20 * SECOND)
     dials = len(simulation.records.dials) / 300
     assert dials <= SOURCES + 20 * SECOND / PARAMETERS.dial_timeout_ns
     for source in simulation.sources.values():
-        source.become(Condition.RUNS)
+        source.set_condition(Condition.RUNS)
     committed = simulation.now
     simulation.commit()
     simulation.run(IN_FORCE)
--- a/tests/distribution/test_distributor.py
+++ b/tests/distribution/test_distributor.py
@@ -13,7 +13,7 @@
 import pytest
 
 from standins.process import ROOT
-from tansywood.distribution.distributor import parse_arguments, pieces
+from tansywood.distribution.distributor import parse_arguments, split_report
 from tansywood.distribution.messages import Epoch, Kind, Resource, Rollout, Rollouts
 from tansywood.distribution.parameters import Parameters
 from tansywood.distribution.replica import Replica
@@ -74,7 +74,7 @@
 def test_a_report_is_sent_in_messages_that_the_protocol_takes() -> None:
     rows = [Rollout(f"t{n}", n, 1, 0) for n in range(2_500)]
     names = [f"node-{n}" for n in range(5_000)]
-    sent = list(pieces(Rollouts(rows, names)))
+    sent = list(split_report(Rollouts(rows, names)))
     assert [len(message.rows) for message in sent] == [1024, 1024, 452]
     assert [row for message in sent for row in message.rows] == rows
     assert [name for message in sent for name in message.joined] == names
--- a/tests/distribution/test_flood.py
+++ b/tests/distribution/test_flood.py
@@ -10,7 +10,7 @@
 
 from tansywood.distribution.interest import Interest, State
 from tansywood.distribution.parameters import MS, SECOND, Parameters
-from tests.distribution.simulation import most_in_a_window
+from tests.distribution.simulation import max_in_window
 
 PARAMETERS = Parameters(max_unknown_aliases=1_000)
 BOUND = 500  # tenants held at most
@@ -58,8 +58,8 @@
 
     def _ask(self, alias: str, now: int) -> State | None:
         self._asked += 1
-        asked = self.interest.ask((DOOR, self._asked), [alias], now)
-        for opened in asked.look_up:
+        asked = self.interest.resolve((DOOR, self._asked), [alias], now)
+        for opened in asked.aliases_to_look_up:
             self.lookups.append(now)
             heapq.heappush(self._answers, (now + self.after, opened))
         return asked.state
@@ -68,13 +68,13 @@
         while self._answers and self._answers[0][0] <= now:
             _, alias = heapq.heappop(self._answers)
             nobodys = [""] if self.after < self.parameters.lookup_timeout_ns else None
-            self.interest.answered([alias], nobodys, now)
+            self.interest.complete_lookup([alias], nobodys, now)
 
     def _measure(self) -> None:
         one = self.interest
-        self.most["unknown answers"] = max(self.most["unknown answers"], one.unknown_cached)
-        self.most["open questions"] = max(self.most["open questions"], one.lookups_open)
-        self.most["requests that wait"] = max(self.most["requests that wait"], one.waiting)
+        self.most["unknown answers"] = max(self.most["unknown answers"], one.cached_unknown_count)
+        self.most["open questions"] = max(self.most["open questions"], one.open_lookups)
+        self.most["requests that wait"] = max(self.most["requests that wait"], one.waiting_requests)
 
 
 def broken_bounds(flood: Flood) -> set[str]:
@@ -86,11 +86,11 @@
         "requests that wait": PARAMETERS.max_open_lookups,
     }
     broken = {what for what, bound in bounds.items() if flood.most[what] > bound}
-    if most_in_a_window(flood.lookups, SECOND) > 1.5 * PARAMETERS.lookups_per_s:
+    if max_in_window(flood.lookups, SECOND) > 1.5 * PARAMETERS.lookups_per_s:
         broken.add("lookups a second")
     if set(flood.states) != {State.DONE}:
         broken.add("known hosts are answered")
-    if flood.interest.waiting or flood.interest.lookups_open:
+    if flood.interest.waiting_requests or flood.interest.open_lookups:
         broken.add("all questions end")
     return broken
 
--- a/tests/distribution/test_moved.py
+++ b/tests/distribution/test_moved.py
@@ -13,7 +13,7 @@
 )
 from tansywood.distribution.parameters import MS, Parameters
 from tansywood.distribution.replica import Replica
-from tansywood.distribution.rollout import RolloutBoard
+from tansywood.distribution.rollout import RolloutTracker
 from tansywood.distribution.source import Source
 
 EPOCH = Epoch(1, b"a")
@@ -87,12 +87,12 @@
 
 
 def test_the_distributor_that_one_left_is_told_and_after_a_start_all_others() -> None:
-    board = RolloutBoard()
+    board = RolloutTracker()
     for name in ("d1", "d2", "d3"):
         board.connected(name)
-    assert board.joined("d1", ["n1"]) == {"d2": ["n1"], "d3": ["n1"]}
-    assert board.joined("d1", ["n1"]) == {}
-    assert board.joined("d2", ["n1"]) == {"d1": ["n1"]}
+    assert board.instances_joined("d1", ["n1"]) == {"d2": ["n1"], "d3": ["n1"]}
+    assert board.instances_joined("d1", ["n1"]) == {}
+    assert board.instances_joined("d2", ["n1"]) == {"d1": ["n1"]}
 
 
 def test_a_dead_connection_that_is_told_last_after_a_publishers_start_places_nobody_for_good() -> (
@@ -100,19 +100,19 @@
 ):
     """Both distributors tell all that they have: the one that the instance left says so last, as
     it has not noticed yet. The instance is heard at the other, which says it again."""
-    left, here, board = source(), source(), RolloutBoard()
+    left, here, board = source(), source(), RolloutTracker()
     dead, alive = subscribed(left, "n1"), subscribed(here, "n1")
     for name, made in (("here", here), ("left", left)):
         board.connected(name)
         made.reset_report()
         report = made.report(MS)
         assert report is not None
-        for other, names in board.joined(name, report.joined).items():
+        for other, names in board.instances_joined(name, report.joined).items():
             (left if other == "left" else here).moved(names)
     here.received(alive, 2 * MS, Acknowledge(1))  # a heartbeat
     report = here.report(2 * MS)
     assert report is not None and report.joined == ["n1"]
-    for other, names in board.joined("here", report.joined).items():
+    for other, names in board.instances_joined("here", report.joined).items():
         (left if other == "left" else here).moved(names)
     left.closed(dead, 3 * MS)
     for made in (left, here):
--- a/tests/distribution/test_reconnects.py
+++ b/tests/distribution/test_reconnects.py
@@ -12,7 +12,7 @@
 from tansywood.distribution.replica import Replica
 from tansywood.distribution.source import Source
 from tansywood.distribution.subscriber import Subscriber
-from tests.distribution.simulation import Condition, Simulation, most_in_a_window
+from tests.distribution.simulation import Condition, Simulation, max_in_window
 
 IN_FORCE = 4 * SECOND  # from a change until it is in force everywhere
 PARAMETERS = Parameters()
@@ -27,7 +27,7 @@
     committed = simulation.now
     silent = simulation.sources["10.0.0.0:1"]
     assert len(silent.connections) > 5
-    silent.become(Condition.SILENT)
+    silent.set_condition(Condition.SILENT)
     simulation.commit()
     simulation.run(IN_FORCE + 1)
     if len(simulation.records.applied) < len(simulation.subscribers):
@@ -134,12 +134,12 @@
     simulation.add_subscribers(LOST)
     followed, *others = simulation.sources.values()
     for source in others:
-        source.become(Condition.DEAD)
+        source.set_condition(Condition.DEAD)
     simulation.connect_all(10 * SECOND)
     simulation.records.dials.clear()
     for subscriber in simulation.subscribers:
         subscriber.core.dialing._random = random or subscriber.core.dialing._random
-    followed.become(Condition.DEAD)
+    followed.set_condition(Condition.DEAD)
     simulation.run(5 * SECOND)
     first: dict[str, int] = {}
     later = [
@@ -148,7 +148,7 @@
         if first.setdefault(dial.name, dial.at) != dial.at
     ]
     assert len(first) == LOST and len(later) > 5 * LOST
-    return most_in_a_window(list(first.values()), 10 * MS), most_in_a_window(later, 100 * MS)
+    return max_in_window(list(first.values()), 10 * MS), max_in_window(later, 100 * MS)
 
 
 def test_subscribers_of_a_lost_source_dial_spread_over_time() -> None:
@@ -208,7 +208,7 @@
         admitted = [w.at for w in records.welcomes if w.address == address]
         for window in (100 * MS, SECOND, 3 * SECOND):
             bound = PARAMETERS.admission_burst + PARAMETERS.admissions_per_s * window / SECOND
-            if most_in_a_window(admitted, window) > bound + 1:
+            if max_in_window(admitted, window) > bound + 1:
                 broken.add("admits more than its bound")
     for refusal in records.refusals:
         told = refusal.at + refusal.retry_after
--- a/tests/distribution/test_rollout.py
+++ b/tests/distribution/test_rollout.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from tansywood.distribution.messages import Rollout
-from tansywood.distribution.rollout import RolloutBoard
+from tansywood.distribution.rollout import RolloutTracker
 
 
-def board(*names: str) -> RolloutBoard:
-    made = RolloutBoard()
+def board(*names: str) -> RolloutTracker:
+    made = RolloutTracker()
     for name in names:
         made.connected(name)
     return made
@@ -49,17 +49,17 @@
 
 def test_a_distributor_that_is_away_waits_while_instances_were_there_last() -> None:
     sums = board("d1", "d2")
-    sums.joined("d1", ["n1"])
+    sums.instances_joined("d1", ["n1"])
     sums.report("d2", [Rollout("t", 5, 1, 0)], 5)
     sums.disconnected("d1")
     assert sums.summary("t", 5).distributors_waiting == ("d1",)
-    assert sums.joined("d2", ["n1"])["d1"] == ["n1"]
+    assert sums.instances_joined("d2", ["n1"])["d1"] == ["n1"]
     assert sums.summary("t", 5).complete
 
 
 def test_who_was_where_is_told_anew_after_a_start_of_the_publisher() -> None:
     sums = board("d1", "d2")
-    assert sums.joined("d1", []) == {}
-    assert sums.joined("d2", ["n1"]) == {"d1": ["n1"]}  # it may have been there before
+    assert sums.instances_joined("d1", []) == {}
+    assert sums.instances_joined("d2", ["n1"]) == {"d1": ["n1"]}  # it may have been there before
     sums.connected("d1")
-    assert sums.joined("d1", []) == {"d1": ["n1"]}
+    assert sums.instances_joined("d1", []) == {"d1": ["n1"]}
--- a/tests/distribution/test_source.py
+++ b/tests/distribution/test_source.py
@@ -309,9 +309,9 @@
     18, and the history that goes on from 18 has the state of 17."""
     replica = Replica(PARAMETERS.max_resumable_changes, Epoch(2, b"b"), 18)
     replica.load([content("t1", 16), content("t2", 17)])
-    replica.set_floor(10)
-    replica.record(16, "t1")
-    replica.record(17, "t2")
+    replica.set_resumable_from(10)
+    replica.record_change(16, "t1")
+    replica.record_change(17, "t2")
     replica.begin_epoch(Epoch(2, b"b"), Position(EPOCH, 18))
     source = Source(replica, PARAMETERS, NOW, is_publisher=True)
 
--- a/tests/service/test_placed.py
+++ b/tests/service/test_placed.py
@@ -28,15 +28,15 @@
     assert view.place == Position()
     replica = Replica(10)
     load_held(replica, {"t1": view})
-    assert replica.take(content("t1", 1))
+    assert replica.apply(content("t1", 1))
 
 
 def test_an_older_state_of_a_distributor_that_is_behind_is_not_taken_after_a_restart() -> None:
     replica = Replica(10)
     load_held(replica, {"t1": placed(b'{"uid":"t1"}', LATER, 9)})
     assert replica.epoch == LATER
-    assert not replica.take(content("t1", 8))
-    assert replica.take(content("t1", 10))
+    assert not replica.apply(content("t1", 8))
+    assert replica.apply(content("t1", 10))
 
 
 def test_what_is_of_an_earlier_epoch_gives_way_to_any_state_of_the_later() -> None:
@@ -44,11 +44,11 @@
     held = {"t1": placed(b"{}", LATER, 3), "t2": placed(b"{}", EARLIER, 99)}
     load_held(replica, held)
     assert replica.epoch == LATER
-    assert replica.take(content("t2", 1))
+    assert replica.apply(content("t2", 1))
 
 
 def test_it_has_to_be_compared_whatever_the_source_knows() -> None:
     replica = Replica(10)
     load_held(replica, {"t1": placed(b"{}", LATER, 9)})
     source = Replica(10, LATER, 20)
-    assert not source.covers(replica.position, replica.newest)
+    assert not source.covers(replica.position, replica.newest_revision)
--- a/tests/service/test_roles.py
+++ b/tests/service/test_roles.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tansywood.distribution.settings import IDLE_S, TENANTS, Role
+from tansywood.distribution.settings import DEFAULT_IDLE_S, DEFAULT_MAX_TENANTS, Role
 from tansywood.service.settings import faults, load
 
 SERVICE = {"run": "run", "store": "state"}
@@ -91,5 +91,8 @@
     assert settings.role is Role.NODE
     assert settings.admin is None
     assert settings.distribution is not None
-    assert (settings.distribution.tenants, settings.distribution.idle_s) == (TENANTS, IDLE_S)
+    assert (settings.distribution.tenants, settings.distribution.idle_s) == (
+        DEFAULT_MAX_TENANTS,
+        DEFAULT_IDLE_S,
+    )
     assert settings.distribution.key_file == tmp_path / "fleet.key"
