--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -36,7 +36,7 @@
 from tansywood.fleet.allocation import open_key, places_key, rate_key
 from tansywood.fleet.members import State
 from tansywood.fleet.share import Limits
-from tansywood.fleet.subsets import chosen, deterministic, rendezvous
+from tansywood.fleet.subsets import assigned_servers, deterministic, rendezvous
 from tansywood.fleet.terms import SECOND
 
 PARTS = ("worth", "members", "subsets", "cost")
@@ -244,7 +244,7 @@
             def pick(who: list[str], kind: str = kind, size: int = size) -> dict[str, set[str]]:
                 if kind == "chosen":
                     places = round(count * size / servers)  # noqa: B023
-                    return {n: set(chosen(n, who, weights, places)) for n in who}  # noqa: B023
+                    return {n: set(assigned_servers(n, who, weights, places)) for n in who}  # noqa: B023
                 if kind == "rendezvous":
                     return {n: set(rendezvous(n, weights, size)) for n in who}  # noqa: B023
                 return {n: set(deterministic(n, who, rows, size)) for n in who}  # noqa: B023
--- a/benchmarks/scale/limits.py
+++ b/benchmarks/scale/limits.py
@@ -77,7 +77,7 @@
     rows = {key: row for name in names for key, row in shipped.limits().by_key(name).items()}
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    home = shipped.Allocator(shipped.Terms(), 1, 0, 0)
+    home = shipped.Allocator(shipped.GrantTerms(), 1, 0, 0)
     for key, (whole, tail) in rows.items():
         home.set_whole(key, whole, tail)
     at = 100 * shipped.SECOND
@@ -185,14 +185,14 @@
 
 def figures(rest: Sequence[Play]) -> list[Figure]:
     """What stands by itself."""
-    terms = shipped.Terms()
+    terms = shipped.GrantTerms()
     return [
         Figure(f"datagrams of each, {rest[-1].rest} tenants at rest", rest[-1].datagrams,
                "a second", Source.SIMULATED),
         Figure(f"claims of a home to each other home, {rest[0].rest} tenants at rest",
                rest[0].home_claims, "a second", Source.SIMULATED),
-        Figure("rounds of claims, as designed", shipped.SECOND / terms.round, "a second",
-               "the code"),
+        Figure("rounds of claims, as designed", shipped.SECOND / terms.claim_interval_ns,
+               "a second", "the code"),
         Figure("bytes sent by a home to a holder's, all tenants at rest",
                rest[-1].home_sent / rest[-1].holder_sent, "times", Source.SIMULATED),
     ]  # fmt: skip
@@ -200,11 +200,11 @@
 
 def effects() -> list[Effect]:
     """What events do, by the terms of grants."""
-    terms = shipped.Terms()
+    terms = shipped.GrantTerms()
     tail = shipped.limits().tail
-    lent = terms.length / shipped.SECOND
-    anew = (terms.length + terms.after(tail)) / shipped.SECOND
-    used = terms.used / shipped.SECOND
+    lent = terms.grant_ns / shipped.SECOND
+    anew = (terms.grant_ns + terms.request_tail_ns(tail)) / shipped.SECOND
+    used = terms.usable_ns / shipped.SECOND
     return [
         Effect(Event.ORDINARY_DAY, "a node that goes: its parts of rates can be dealt again after",
                lent, "s"),
--- a/benchmarks/scale/shipped.py
+++ b/benchmarks/scale/shipped.py
@@ -15,19 +15,27 @@
 from standins.fleet.simulated import World
 from tansywood.fleet.allocation import Allocator, open_key, rate_key
 from tansywood.fleet.instance import Instance
-from tansywood.fleet.members import SYNC, State
-from tansywood.fleet.messages import Claim, ClaimEntry, Envelope, MemberUpdate, Seen, Sync, pack
-from tansywood.fleet.seal import HEAD, LIVES, Seal, bound_to
+from tansywood.fleet.members import SYNC_INTERVAL_NS, State
+from tansywood.fleet.messages import (
+    Claim,
+    ClaimEntry,
+    Envelope,
+    MemberUpdate,
+    Observation,
+    Sync,
+    pack,
+)
+from tansywood.fleet.seal import HEADER, MAX_REMEMBERED_LIVES, Seal, fleet_binding
 from tansywood.fleet.share import Limits
 from tansywood.fleet.signals import Kind, Signals
-from tansywood.fleet.terms import SECOND, Terms
+from tansywood.fleet.terms import SECOND, GrantTerms
 from tansywood.lease.fragments import Fragment
 from tansywood.lease.terms import SECOND as LEASE_SECOND
 from tansywood.lease.terms import LeaseTerms
 
 __all__ = [
     "LEASE_SECOND",
-    "LIVES",
+    "MAX_REMEMBERED_LIVES",
     "SECOND",
     "Claim",
     "CountingWorld",
@@ -40,10 +48,10 @@
     "Place",
     "MemberUpdate",
     "Seal",
-    "Seen",
+    "Observation",
     "Signals",
     "Sync",
-    "Terms",
+    "GrantTerms",
     "ClaimEntry",
     "claim_of",
     "fleet_world",
@@ -58,7 +66,7 @@
     "use_tenants",
 ]
 
-SEAL_BYTES = HEAD.size + 16  # around each message: head and authentication tag
+SEAL_BYTES = HEADER.size + 16  # around each message: head and authentication tag
 RATE = 1_000_000  # thousandths of a request a second, a tenant's default limit
 OPEN = 500
 
@@ -78,7 +86,7 @@
     def flush(self, name: str) -> None:
         """Count what is about to leave, then send it."""
         made = self.hosts[name].instance
-        for address, envelope in made.messenger.sends if made is not None else ():
+        for address, envelope in made.messenger.outgoing if made is not None else ():
             size = len(pack(envelope)) + SEAL_BYTES
             self.datagrams += 1
             self.bytes_sent[name] += size
@@ -129,11 +137,11 @@
         now = members._now
         for other in everybody:
             if other is not members:
-                members.hear(now, other.own, other.own.name)
-        members._news.clear()
+                members.apply_update(now, other.own, other.own.name)
+        members._send_counts.clear()
         members.events.clear()
         members._syncs = 10
-        members._next_sync = now + int(world.rng.random() * SYNC)
+        members._next_sync = now + int(world.rng.random() * SYNC_INTERVAL_NS)
 
 
 def use_tenants(world: CountingWorld, name: str, busy: Iterable[str]) -> None:
@@ -178,17 +186,25 @@
     """One instance that has heard of all others of a fleet of so many."""
     own = member_update(0)
     made = Instance(
-        own.name, own.address, [own.address], Terms(), Random(1), own.life, own.born, 0, own.zone
+        own.name,
+        own.address,
+        [own.address],
+        GrantTerms(),
+        Random(1),
+        own.life,
+        own.born,
+        0,
+        own.zone,
     )
     for number in range(1, count):
-        made.members.hear(0, member_update(number), own.name)
+        made.members.apply_update(0, member_update(number), own.name)
     return made
 
 
 def seal_of(number: int) -> Seal:
     """The seal of one member, all under one key."""
     return Seal(
-        [bytes(range(32))], bound_to("scale", ["10.0.0.1:7946"]), member_update(number).life
+        [bytes(range(32))], fleet_binding("scale", ["10.0.0.1:7946"]), member_update(number).life
     )
 
 
--- a/benchmarks/scale/signals.py
+++ b/benchmarks/scale/signals.py
@@ -28,7 +28,7 @@
     made = shipped.Signals()
     for source in range(SOURCES):
         life = shipped.member_update(source).life
-        made.hear(0, life, [shipped.Seen(name(n), int(shipped.Kind.GOOD), 0)
+        made.record(0, life, [shipped.Observation(name(n), int(shipped.Kind.ANSWERED), 0)
                             for n in range(servers)])  # fmt: skip
     return made
 
@@ -53,13 +53,13 @@
     """Processor time of one claim's evidence: hear it, and say what is doubted of its tenants."""
     made = filled(servers)
     life = shipped.member_update(0).life
-    seen = [shipped.Seen(name(n), int(shipped.Kind.GOOD), 0) for n in range(ROWS)]
+    seen = [shipped.Observation(name(n), int(shipped.Kind.ANSWERED), 0) for n in range(ROWS)]
     tenants = {row.server.partition("/")[0] for row in seen}
     began = time.process_time()
     for n in range(CLAIMS):
-        made.hear(n, life, seen)
+        made.record(n, life, seen)
         made.doubted(n, tenants)
-        made.back(n, seen)
+        made.recovered(n, seen)
     return 1000 * (time.process_time() - began) / CLAIMS
 
 
--- a/standins/fleet/simulated.py
+++ b/standins/fleet/simulated.py
@@ -17,7 +17,7 @@
 from tansywood.fleet.instance import Instance
 from tansywood.fleet.messages import Envelope
 from tansywood.fleet.share import Limits
-from tansywood.fleet.terms import MS, SECOND, Terms
+from tansywood.fleet.terms import MS, SECOND, GrantTerms
 
 
 @dataclass
@@ -73,14 +73,14 @@
         allocators: int,
         tenants: Mapping[str, Limits],
         seed: int,
-        terms: Terms | None = None,
+        terms: GrantTerms | None = None,
         clocks: Mapping[str, float] | None = None,
         hand_on: bool = False,
     ) -> None:
         """`hand_on`: slices are granted under leases, which `hand` moves at once: nothing passes
         between the moment at which one may no longer grant and that at which the other may."""
         self.rng = Random(seed)
-        self.terms = terms or Terms()
+        self.terms = terms or GrantTerms()
         self.tenants = dict(tenants)
         self.conditions = NetworkConditions()
         self.now = 0
--- a/tansywood/distribution/stream.py
+++ b/tansywood/distribution/stream.py
@@ -19,7 +19,7 @@
 
 from tansywood.distribution.messages import MAX_FRAME_BYTES, Message, MessageError, pack, unpack
 from tansywood.distribution.refusals import describe_refusal
-from tansywood.fleet.messages import LIFE
+from tansywood.fleet.messages import LIFE_BYTES
 from tansywood.fleet.seal import Seal, SealError
 
 FRAME_LENGTH = struct.Struct(">I")
@@ -59,7 +59,7 @@
         self._fleet = fleet
         self._is_connector = is_connector
         self._refused = refused
-        self._life = os.urandom(LIFE)
+        self._life = os.urandom(LIFE_BYTES)
         self._seal: Seal | None = None
         self._peer_life = b""
         self._buffer = bytearray()
@@ -143,10 +143,10 @@
             self._transport.write(data)
 
     def _begin_session(self) -> bool:
-        if len(self._buffer) < LIFE:
+        if len(self._buffer) < LIFE_BYTES:
             return False
-        self._peer_life = bytes(self._buffer[:LIFE])
-        del self._buffer[:LIFE]
+        self._peer_life = bytes(self._buffer[:LIFE_BYTES])
+        del self._buffer[:LIFE_BYTES]
         lives = (
             (self._life, self._peer_life) if self._is_connector else (self._peer_life, self._life)
         )
@@ -179,7 +179,7 @@
                 raise SealError("forged")
             message = unpack(body)
         except SealError as err:
-            self.refuse(err.why, f"a message that is not sealed for us: {err.why}")
+            self.refuse(err.reason, f"a message that is not sealed for us: {err.reason}")
             return
         except MessageError as err:
             self.refuse("message", f"no message of this protocol: {err}")
--- a/tansywood/fleet/allocation.py
+++ b/tansywood/fleet/allocation.py
@@ -18,8 +18,8 @@
 from zlib import crc32
 
 from tansywood.fleet.maxmin import allocate
-from tansywood.fleet.messages import Claim, ClaimEntry, Grant, GrantEntry, Seen
-from tansywood.fleet.terms import Terms
+from tansywood.fleet.messages import Claim, ClaimEntry, Grant, GrantEntry, Observation
+from tansywood.fleet.terms import GrantTerms
 
 RATE, OPEN, AT = "rate", "open", "at"
 FLOOR_DIVISOR = 50  # one unit in so many of its slice an allocator keeps for itself
@@ -123,15 +123,15 @@
                 if not c.grants:
                     del self.claimants[life]
 
-    def allocate(self, now: int, terms: Terms) -> None:
+    def allocate(self, now: int, terms: GrantTerms) -> None:
         """Divide the slice anew among those that claimed lately."""
-        needs = {w: c.need for w, c in self.claimants.items() if now - c.at <= terms.length}
+        needs = {w: c.need for w, c in self.claimants.items() if now - c.at <= terms.grant_ns}
         had = {w: c.grants[-1].amount for w, c in self.claimants.items() if c.grants}
         self.allocated = allocate(self.allocatable, needs, self.credit, had)
         self.allocated_at = now
 
     def claim(
-        self, now: int, life: bytes, seq: int, entry: ClaimEntry, terms: Terms, ready: bool
+        self, now: int, life: bytes, seq: int, entry: ClaimEntry, terms: GrantTerms, ready: bool
     ) -> int:
         """Units granted by this claim; -1 where it is older than one that was answered."""
         self.expire(now)
@@ -147,11 +147,11 @@
         c.at = now
         c.grants = [g for g in c.grants if g.seq >= entry.applied]
         self.recount(life, c, now)
-        if new or woke or now - self.allocated_at >= terms.round:
+        if new or woke or now - self.allocated_at >= terms.claim_interval_ns:
             self.allocate(now, terms)
         free = self.allocatable - (self.reserved - c.reserved)
         amount = max(min(self.allocated.get(life, 0), free), 0) if ready else 0
-        self._grant(life, c, _OutstandingGrant(seq, amount, now + terms.outlast(self.tail)))
+        self._grant(life, c, _OutstandingGrant(seq, amount, now + terms.in_use_ns(self.tail)))
         self.recount(life, c, now)
         return amount
 
@@ -163,13 +163,13 @@
             c.grants.append(grant)
         heappush(self.ends, (grant.end, life))
 
-    def give_back(self, now: int, life: bytes, seq: int, terms: Terms) -> None:
+    def give_back(self, now: int, life: bytes, seq: int, terms: GrantTerms) -> None:
         """A holder uses nothing any more."""
         c = self.claimants.get(life)
         if c is not None and seq > c.seq:
             c.seq = seq
             c.need = 0
-            c.at = now - terms.length - 1
+            c.at = now - terms.grant_ns - 1
             c.grants = []
             self.recount(life, c, now)
 
@@ -177,7 +177,7 @@
 class Allocator:
     """Grants the slices of one allocator, for one life of its process."""
 
-    def __init__(self, terms: Terms, allocators: int, index: int, now: int) -> None:
+    def __init__(self, terms: GrantTerms, allocators: int, index: int, now: int) -> None:
         """The slices of allocator `index` of `allocators`, from `now` on."""
         if not 0 <= index < allocators:
             raise ValueError(f"allocator {index} of {allocators}")
@@ -201,7 +201,9 @@
             known.units = units
             if tail > known.tail:
                 # What is taken from now on under an outstanding grant lasts longer too.
-                known.lengthen(self.terms.after(tail) - self.terms.after(known.tail))
+                known.lengthen(
+                    self.terms.request_tail_ns(tail) - self.terms.request_tail_ns(known.tail)
+                )
                 known.tail = tail
 
     def keep(self, keys: Iterable[str], now: int) -> None:
@@ -211,13 +213,13 @@
         for key in [k for k in self.slices if k not in wanted]:
             self._dropped[key] = (now, self.slices.pop(key).tail)
         for key, (at, tail) in list(self._dropped.items()):
-            if now >= at + self.terms.outlast(tail):
+            if now >= at + self.terms.in_use_ns(tail):
                 del self._dropped[key]  # all that was granted of it is over
 
     def ready(self, key: str, now: int) -> bool:
         """Whether whatever an earlier life of this allocator granted is certainly over."""
         known = self.slices[key]
-        return now >= known.born + self.terms.outlast(known.tail)
+        return now >= known.born + self.terms.in_use_ns(known.tail)
 
     def claim(self, now: int, life: bytes, claim: Claim) -> list[GrantEntry]:
         """Answer a claim of the holder with this life; nothing for limits not known here."""
@@ -258,7 +260,7 @@
 class Holder:
     """What one instance holds of every limit, by every allocator, for one life of its process."""
 
-    def __init__(self, terms: Terms, allocators: int) -> None:
+    def __init__(self, terms: GrantTerms, allocators: int) -> None:
         self.terms = terms
         self.allocators = allocators
         self.seqs = [0] * allocators  # of the last claim to each
@@ -269,14 +271,18 @@
         self._last: dict[str, int] = {}  # amount, by limit key
 
     def claim(
-        self, now: int, allocator: int, needs: Mapping[str, int], seen: list[Seen] | None = None
+        self,
+        now: int,
+        allocator: int,
+        needs: Mapping[str, int],
+        seen: list[Observation] | None = None,
     ) -> Claim:
         """The next claim of these limits from an allocator. It has to leave now, or never."""
         self.seqs[allocator] += 1
         seq = self.seqs[allocator]
         sent = self._sent[allocator]
         sent.append((seq, now))
-        while sent and now - sent[0][1] > self.terms.used:
+        while sent and now - sent[0][1] > self.terms.usable_ns:
             sent.popleft()
         entries = []
         for key, need in needs.items():
@@ -290,7 +296,7 @@
         sent = next((at for seq, at in self._sent[allocator] if seq == grant.seq), None)
         if sent is None:
             return False
-        end = sent + self.terms.used
+        end = sent + self.terms.usable_ns
         if end <= now:
             return False
         taken = False
@@ -307,7 +313,7 @@
 
     def amount(self, now: int, key: str) -> int:
         """Units that may be used now; a change since the last look is another version."""
-        least, amount = now + self.terms.spare, 0
+        least, amount = now + self.terms.min_remaining_ns, 0
         for held in self._held.get(key, ()):
             if held.end > least:
                 amount += held.amount
@@ -319,7 +325,7 @@
 
     def until(self, now: int, key: str) -> int:
         """When the first of what `amount` counts is over; `now` where it counts nothing."""
-        ends = [h.end for h in self._held.get(key, ()) if h.end - now > self.terms.spare]
+        ends = [h.end for h in self._held.get(key, ()) if h.end - now > self.terms.min_remaining_ns]
         return min(ends, default=now)
 
     def changed(self, key: str) -> int:
--- a/tansywood/fleet/claims.py
+++ b/tansywood/fleet/claims.py
@@ -12,9 +12,9 @@
 from tansywood.fleet.entitlement import Entitlement
 from tansywood.fleet.granting import allocator_lease
 from tansywood.fleet.members import Members
-from tansywood.fleet.messages import Seen
+from tansywood.fleet.messages import Observation
 from tansywood.fleet.subsets import Subsets
-from tansywood.fleet.terms import MS, SECOND, Terms
+from tansywood.fleet.terms import MS, SECOND, GrantTerms
 
 RESTING = SECOND  # within which every tenant at rest is claimed for once ...
 HOSTED_RESTING = RESTING // 2  # ... and one that a worker has: two claims before a grant is over
@@ -25,7 +25,7 @@
 OVERLAP = SECOND  # both subsets are claimed for while one gives way to the other
 NEAR = 3  # instances that may have taken over an allocator's slice
 
-Batch = tuple[dict[str, int], list[Seen]]  # needs by limit key, and evidence
+Batch = tuple[dict[str, int], list[Observation]]  # needs by limit key, and evidence
 
 
 def split(need: int, answering: Sequence[int], index: int, name: str, key: str) -> int:
@@ -37,7 +37,7 @@
     return need // len(answering) + (place < need % len(answering))
 
 
-def batches(needs: Iterable[tuple[str, int]], seen: Iterable[Seen]) -> Iterator[Batch]:
+def batches(needs: Iterable[tuple[str, int]], seen: Iterable[Observation]) -> Iterator[Batch]:
     """Needs and evidence, the last ones first, in as much as a datagram takes."""
     left, evidence = list(needs), list(seen)
     while left or evidence:
@@ -47,7 +47,7 @@
             key, need = left.pop()
             row[key] = need
             size += len(key) + ROW_BYTES
-        some: list[Seen] = []
+        some: list[Observation] = []
         while evidence and len(some) < BATCH_ROWS and size < BATCH_BYTES:
             some.append(evidence.pop())
             size += len(some[-1].server) + ROW_BYTES
@@ -61,25 +61,25 @@
         self,
         name: str,
         addresses: Sequence[str],
-        terms: Terms,
+        terms: GrantTerms,
         members: Members,
         entitlement: Entitlement,
         now: int,
     ) -> None:
         """`addresses`: the allocators', in their order."""
-        self.next_at = now + turns.phase(name, terms.round)
-        self._last_at = now - terms.round
+        self.next_at = now + turns.phase_offset(name, terms.claim_interval_ns)
+        self._last_at = now - terms.claim_interval_ns
         self._name = name
         self._addresses = addresses
         self._terms = terms
         self._members = members
         self._entitlement = entitlement
         self._resting: deque[str] = deque()  # the next one whose turn it is first
-        self._rested_at = now - terms.round
+        self._rested_at = now - terms.claim_interval_ns
         self._hosted_at: dict[str, int] = {}  # by tenant at rest that a worker has, its last claim
         # Tenants whose turn has come by then, times RESTING. Not from nothing: of instances that
         # started together each would claim for its one tenant in the same quarter of a second.
-        self._rest_owed = turns.phase(name, RESTING)
+        self._rest_owed = turns.phase_offset(name, RESTING)
         self._subsets = Subsets(name, OVERLAP)
         self._answered_at: dict[int, int] = {}  # by allocator, the last time
         self._answered_by: dict[int, str] = {}  # by allocator, who did then
@@ -92,7 +92,7 @@
     def begin_round(self, now: int) -> None:
         """Claims leave now."""
         self._last_at = now
-        self.next_at = now + self._terms.round
+        self.next_at = now + self._terms.claim_interval_ns
 
     def set_tenants(self, tenants: Iterable[str]) -> None:
         """All tenants there are. Those that are new are claimed for first."""
@@ -122,7 +122,7 @@
             if not demand.rests:
                 self._hosted_at.pop(tenant, None)
             limits = self._entitlement.tenants[tenant]
-            ours = self._subsets.of(now, tenant, members, limits.servers, limits.places)
+            ours = self._subsets.servers_in_use(now, tenant, members, limits.servers, limits.places)
             for key in self._entitlement.keys[tenant]:
                 needs[key] = max(demand.needs.get(key, 0) - self._entitlement.floor(key), 0)
             if limits.places:
@@ -164,7 +164,7 @@
 
     def _answers(self, now: int, index: int) -> bool:
         """Whether an allocator has answered within the length of a grant."""
-        length = self._terms.length
+        length = self._terms.grant_ns
         return now - self._answered_at.get(index, -length) < length
 
     def ask_at(self, now: int, index: int, handed_on: bool) -> list[str]:
@@ -177,7 +177,7 @@
         # The first few for its lease, as they ask for it; and all others in turn, for whoever has
         # another view of the members may hold it.
         rows = self._members.rows
-        ranked = turns.order(allocator_lease(index), self._members.working())
+        ranked = turns.rank_members(allocator_lease(index), self._members.working())
         self._turn += 1
         some = [*ranked[:NEAR], ranked[self._turn % len(ranked)]] if ranked else []
         found = [self._addresses[index], *(rows[n].update.address for n in some)]
--- a/tansywood/fleet/entitlement.py
+++ b/tansywood/fleet/entitlement.py
@@ -6,13 +6,13 @@
 
 from tansywood.fleet.allocation import Holder, floor_of, slice_of, tenant_of
 from tansywood.fleet.share import Limits
-from tansywood.fleet.terms import Terms
+from tansywood.fleet.terms import GrantTerms
 
 
 class Entitlement:
     """The limits there are, and one instance's units of each. Units as in `allocation`."""
 
-    def __init__(self, terms: Terms, allocators: int, index: int) -> None:
+    def __init__(self, terms: GrantTerms, allocators: int, index: int) -> None:
         """`index`: which of the allocators this instance is; -1 where it is none."""
         self.holder = Holder(terms, allocators)
         self.tenants: dict[str, Limits] = {}
--- a/tansywood/fleet/evidence.py
+++ b/tansywood/fleet/evidence.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from tansywood.fleet.messages import Grant, Seen
+from tansywood.fleet.messages import Grant, Observation
 from tansywood.fleet.signals import Kind, Signals
 from tansywood.fleet.terms import SECOND
 
@@ -26,45 +26,45 @@
 
     # ---- of our own workers ----
 
-    def see(self, seen: Mapping[str, tuple[Kind, int]]) -> list[str]:
+    def record_local(self, seen: Mapping[str, tuple[Kind, int]]) -> list[str]:
         """What a worker saw; returns the servers that it is the first to find out here."""
         found = [
             server
             for server, (kind, _) in seen.items()
-            if kind == Kind.OUT and not self.out(server)
+            if kind == Kind.EJECTED and not self.ejected_locally(server)
         ]
         self._seen |= dict(seen)
         return found
 
-    def out(self, server: str) -> bool:
+    def ejected_locally(self, server: str) -> bool:
         """Whether it was found out here."""
-        return self._seen.get(server, (Kind.GOOD, 0))[0] == Kind.OUT
+        return self._seen.get(server, (Kind.ANSWERED, 0))[0] == Kind.EJECTED
 
-    def to_tell(self, now: int) -> list[Seen]:
+    def recent_observations(self, now: int) -> list[Observation]:
         """What allocators are told."""
         return [
-            Seen(server, int(kind), now - at)
+            Observation(server, int(kind), now - at)
             for server, (kind, at) in self._seen.items()
             if now - at <= TELL_FOR
         ]
 
     # ---- as an allocator ----
 
-    def hear(self, now: int, life: bytes, seen: Iterable[Seen]) -> None:
+    def record(self, now: int, life: bytes, seen: Iterable[Observation]) -> None:
         """What a holder saw."""
-        self._signals.hear(now, life, seen)
+        self._signals.record(now, life, seen)
 
     def verdict(
-        self, now: int, seen: Iterable[Seen], tenants: Iterable[str]
+        self, now: int, seen: Iterable[Observation], tenants: Iterable[str]
     ) -> tuple[list[str], list[str]]:
         """For a holder that has seen this and claims for these tenants: servers that are doubted,
         and those of which it says bad things that have answered others since."""
         doubted = self._signals.doubted(now, tenants)[:MOST_DOUBTED]
-        return doubted, self._signals.back(now, seen)
+        return doubted, self._signals.recovered(now, seen)
 
     # ---- as a holder ----
 
-    def told(self, now: int, grant: Grant) -> list[str]:
+    def apply_verdict(self, now: int, grant: Grant) -> list[str]:
         """An allocator's verdict; returns the servers that were not doubted before."""
         fresh = []
         for server in grant.doubted:
@@ -79,7 +79,7 @@
         """Whether it gets one request at a time until it has answered one."""
         return self._doubts.get(server, 0) > now
 
-    def back(self, now: int, server: str) -> bool:
+    def recovered(self, now: int, server: str) -> bool:
         """Whether it answers others again."""
         return self._backs.get(server, 0) > now
 
--- a/tansywood/fleet/granting.py
+++ b/tansywood/fleet/granting.py
@@ -7,7 +7,7 @@
 from tansywood.fleet.allocation import Allocator, tenant_of
 from tansywood.fleet.evidence import Evidence
 from tansywood.fleet.messages import Claim, Grant, Return
-from tansywood.fleet.terms import Terms
+from tansywood.fleet.terms import GrantTerms
 
 Wholes = Mapping[str, tuple[int, int]]  # by limit key: all there is of it, and its tail
 
@@ -21,7 +21,7 @@
     """The allocators that are here: this instance's own or, where slices are handed on, those
     whose leases it holds."""
 
-    def __init__(self, terms: Terms, count: int, index: int, now: int) -> None:
+    def __init__(self, terms: GrantTerms, count: int, index: int, now: int) -> None:
         """`count` allocators there are; this instance is number `index`, -1 where it is none."""
         self.index = index
         self.allocators: dict[int, Allocator] = {}  # by index
@@ -73,7 +73,7 @@
         allocator = self.active(index)
         if allocator is None:
             return None
-        evidence.hear(now, life, claim.seen)
+        evidence.record(now, life, claim.seen)
         entries = allocator.claim(now, life, claim)
         tenants = {tenant_of(entry.key) for entry in entries}
         doubted, back = evidence.verdict(now, claim.seen, tenants)
--- a/tansywood/fleet/instance.py
+++ b/tansywood/fleet/instance.py
@@ -28,14 +28,14 @@
     Grant,
     Hello,
     MemberUpdate,
+    Observation,
     Return,
-    Seen,
     Welcome,
 )
 from tansywood.fleet.messenger import Messenger
 from tansywood.fleet.share import Limits
 from tansywood.fleet.signals import Kind
-from tansywood.fleet.terms import SECOND, Terms
+from tansywood.fleet.terms import SECOND, GrantTerms
 
 SWEEP = SECOND
 TOLD_FRACTION = 0.2  # of its rate: a tenant's share that moves by less is no event
@@ -49,7 +49,7 @@
         name: str,
         address: str,
         first: Sequence[str],
-        terms: Terms,
+        terms: GrantTerms,
         rng: Random,
         life: bytes,
         born: int,
@@ -70,7 +70,7 @@
         self.messenger = Messenger(name, address, life, now)
         own = MemberUpdate(name, address, life, born, 0, State.ALIVE, False, version, zone)
         self.members = Members(own, first, rng, now, self.messenger.send)
-        self.messenger.told_lives = self.members.lives
+        self.messenger.gossiped_lives = self.members.lives
         self.granting = Granting(terms, len(first), self.index, now)
         self.entitlement = Entitlement(terms, len(first), self.index)
         self.claims = Claims(
@@ -80,7 +80,7 @@
         self.evidence = Evidence()
         self._next_sweep = now + SWEEP
         self._known_rate: dict[str, int] = {}  # by tenant, as told last
-        self._told: dict[str, status.Told] = {}  # by worker
+        self._told: dict[str, status.LastWorkerUpdate] = {}  # by worker
 
     @property
     def holder(self) -> Holder:
@@ -115,7 +115,7 @@
         elif isinstance(body, Welcome):
             if address in self.allocator_addresses:
                 self.claims.soon(now)
-            self.messenger.welcomed(address)
+            self.messenger.clear_hello(address)
         else:
             self.members.receive(now, envelope.sender, address, body)
         self._collect(now)
@@ -124,7 +124,7 @@
         grant = self.granting.answer(now, life, claim, self.evidence)
         if grant is not None:
             self.messenger.counts["grants"] += 1
-            self.messenger.put(address, life, grant)
+            self.messenger.send_to_life(address, life, grant)
 
     def _granted(self, now: int, address: str, grant: Grant) -> None:
         if grant.allocator >= 0 and self.granting.handed_on:
@@ -137,7 +137,7 @@
             return
         if self.holder.granted(now, index, grant):
             self.claims.answered(now, index, address)
-        for server in self.evidence.told(now, grant):
+        for server in self.evidence.apply_verdict(now, grant):
             self._note(server, "doubted", f"{address} hears that several find it out")
         self.demands.granted(now, (entry.key for entry in grant.entries))
 
@@ -182,9 +182,9 @@
         and what it saw of servers, with the time."""
         self.messenger.now = now
         self.demands.report(now, worker, version, hosted)
-        for server in self.evidence.see(seen):
-            row = turns.order(server, self.members.working())
-            place = turns.place(server, row, self.name)
+        for server in self.evidence.record_local(seen):
+            row = turns.rank_members(server, self.members.working())
+            place = turns.position(server, row, self.name)
             first = "we try it first" if not place else f"{row[0]} tries it first"
             self._note(server, "turn", f"found out here; {first}, {place} are before us")
         self._collect(now)
@@ -208,7 +208,7 @@
     def allocations(self, now: int, worker: str) -> dict[str, Any]:
         """What a worker is told: amounts of the tenants that it has, and how long they hold; of
         those that rest, what is new."""
-        told = self._told.setdefault(worker, status.Told())
+        told = self._told.setdefault(worker, status.LastWorkerUpdate())
         return status.for_worker(self, now, worker, told)
 
     def forget_told(self, worker: str) -> None:
@@ -220,18 +220,18 @@
         self.claims.begin_round(now)
         needs = self.claims.needs(now, self.demands)
         answering = self.claims.answering(now)
-        for row, seen in batches(needs.items(), self.evidence.to_tell(now)):
+        for row, seen in batches(needs.items(), self.evidence.recent_observations(now)):
             for index in range(len(self.allocator_addresses)):
                 self._claim(now, index, self.claims.share(row, answering, index), seen)
 
-    def _claim(self, now: int, index: int, needs: dict[str, int], seen: list[Seen]) -> None:
+    def _claim(self, now: int, index: int, needs: dict[str, int], seen: list[Observation]) -> None:
         """One claim of one allocator, at each address where it may be."""
         claim: Claim | None = None
         for address in self.claims.ask_at(now, index, self.granting.handed_on):
             here = address == self.address
             if here and self.granting.active(index) is None:
                 continue
-            if not here and not self.messenger.knows(address):
+            if not here and not self.messenger.knows_life(address):
                 self.messenger.send(address, Hello())
                 continue
             claim = claim or self.holder.claim(now, index, needs, seen)
--- a/tansywood/fleet/members.py
+++ b/tansywood/fleet/members.py
@@ -47,7 +47,7 @@
 HEALTH_MOST = 8
 SPREAD = 4  # times log10 of the fleet that an update is told by each
 NEWS = 6  # updates in one datagram
-SYNC = 10 * SECOND  # between two exchanges of all that is believed
+SYNC_INTERVAL_NS = 10 * SECOND  # between two exchanges of all that is believed
 SYNC_NEW = 250 * MS  # while nobody has answered yet
 AGAIN = 5 * SECOND  # between two looks for somebody lost, or a first address not heard of
 FORGET = 60 * SECOND  # a lost or left member is remembered so long; old news cannot raise it
@@ -79,7 +79,7 @@
         return State(self.update.state)
 
     @property
-    def there(self) -> bool:
+    def present(self) -> bool:
         """Whether it counts as a member: neither lost nor left."""
         return self.update.state <= State.SUSPECT
 
@@ -160,7 +160,7 @@
         self._probe: _Probe | None = None
         self._relayed: dict[int, _RelayedProbe] = {}
         self._order: list[str] = []
-        self._news: dict[str, int] = {own.name: 0}  # how often each was told
+        self._send_counts: dict[str, int] = {own.name: 0}  # how often each was told
         self._next_probe = now + int(rng.random() * PERIOD)
         self._next_sync = now
         self._next_again = now + int(rng.random() * AGAIN)
@@ -170,7 +170,7 @@
 
     def live(self) -> list[str]:
         """Names of those that are there, ourselves among them, in order."""
-        return sorted(name for name, m in self.rows.items() if m.there)
+        return sorted(name for name, m in self.rows.items() if m.present)
 
     def working(self) -> list[str]:
         """Those of them that take on work: neither draining nor suspect."""
@@ -215,7 +215,7 @@
     def _renew(self, now: int, **over: object) -> None:
         self.own = replace(self.own, **({"incarnation": self.own.incarnation + 1} | over))
         self.rows[self.own.name] = Member(self.own, now)
-        self._news[self.own.name] = 0
+        self._send_counts[self.own.name] = 0
 
     # ---- time ---------------------------------------------------------------------------------
 
@@ -258,7 +258,7 @@
             elif m.update.state >= State.LOST and now - m.since > FORGET:
                 del self.rows[name]
                 self.lives.pop(m.update.address, None)
-                self._news.pop(name, None)
+                self._send_counts.pop(name, None)
 
     def _paused(self, now: int) -> bool:
         """Woken after a stop, what is due is not what others failed to do: we were not there to
@@ -294,9 +294,9 @@
         while self._order:
             name = self._order.pop()
             m = self.rows.get(name)
-            if m is not None and m.there and name != self.own.name:
+            if m is not None and m.present and name != self.own.name:
                 return name
-        self._order = [n for n, m in self.rows.items() if m.there and n != self.own.name]
+        self._order = [n for n, m in self.rows.items() if m.present and n != self.own.name]
         self.rng.shuffle(self._order)
         return self._order.pop() if self._order else None
 
@@ -327,11 +327,11 @@
                 del self._relayed[seq]
 
     def _sync(self, now: int) -> None:
-        known = [n for n, m in self.rows.items() if m.there and n != self.own.name]
+        known = [n for n, m in self.rows.items() if m.present and n != self.own.name]
         if known:
             # Often at first: where all start at once, gossip alone takes a quarter of a minute.
             self._syncs += 1
-            every = min(SYNC, SECOND << min(self._syncs, 5))
+            every = min(SYNC_INTERVAL_NS, SECOND << min(self._syncs, 5))
             self._next_sync = now + every // 2 + int(self.rng.random() * every)
             self._tell_all(self.rows[self.rng.choice(known)].update.address, True)
             return
@@ -342,7 +342,7 @@
     def _look_again(self, now: int) -> None:
         """Heals a split: both sides took one another for lost, and nobody would ask again."""
         self._next_again = now + AGAIN // 2 + int(self.rng.random() * AGAIN)
-        known = {m.update.address for m in self.rows.values() if m.there}
+        known = {m.update.address for m in self.rows.values() if m.present}
         gone = [m.update.address for m in self.rows.values() if m.update.state == State.LOST]
         gone += [address for address in self.first if address not in known]
         if gone:
@@ -356,7 +356,7 @@
             self.send(address, Sync(rows[at : at + SYNC_ROWS], answer and at == 0))
 
     def _some(self, count: int, but: str = "") -> list[str]:
-        names = [n for n, m in self.rows.items() if m.there and n not in (self.own.name, but)]
+        names = [n for n, m in self.rows.items() if m.present and n not in (self.own.name, but)]
         return self.rng.sample(names, min(count, len(names)))
 
     # ---- what others say ------------------------------------------------------------------------
@@ -406,9 +406,9 @@
 
     def _take_all(self, now: int, updates: Iterable[MemberUpdate], teller: str) -> None:
         for update in updates:
-            self.hear(now, update, teller)
+            self.apply_update(now, update, teller)
 
-    def hear(self, now: int, update: MemberUpdate, teller: str) -> None:
+    def apply_update(self, now: int, update: MemberUpdate, teller: str) -> None:
         """An update of whatever age. It changes something where it is newer than what is known,
         or accuses a member that is there."""
         if update.name == self.own.name:
@@ -425,7 +425,7 @@
             return
         if rank(update) <= rank(m.update):
             return
-        if update.life != m.update.life and update.address != m.update.address and m.there:
+        if update.life != m.update.life and update.address != m.update.address and m.present:
             # Another process under a name whose bearer is there: who was first keeps it. One
             # that moved to another machine is taken in once the one it was is lost or has left.
             return
@@ -478,7 +478,7 @@
         elif accuser not in m.accusers and len(m.accusers) <= CONFIRMATIONS:
             m.accusers.add(accuser)
             m.update = replace(m.update, accuser=accuser)
-            self._news[update.name] = 0  # confirmations are told on (Lifeguard, 4.2)
+            self._send_counts[update.name] = 0  # confirmations are told on (Lifeguard, 4.2)
         n = len(self.live())
         least, most = shortest(n), longest(n)
         others = len(m.accusers) - 1
@@ -499,7 +499,7 @@
         made = replace(update, state=int(state), accuser=accuser)
         self.rows[update.name] = Member(made, now)
         self.lives[made.address] = made.life
-        self._news[update.name] = 0
+        self._send_counts[update.name] = 0
         if old is not None and state == State.ALIVE and old.state == State.SUSPECT:
             self.false_alarms += 1
             return
@@ -516,14 +516,14 @@
         suspect = self.rows.get(to)
         if suspect is not None and suspect.update.state == State.SUSPECT:
             picked.append(to)
-        for name in sorted(self._news, key=self._news.__getitem__):
+        for name in sorted(self._send_counts, key=self._send_counts.__getitem__):
             if len(picked) >= NEWS:
                 break
             if name not in picked and name in self.rows:
                 picked.append(name)
         for name in picked:
-            if name in self._news:
-                self._news[name] += 1
-                if self._news[name] >= limit:
-                    del self._news[name]
+            if name in self._send_counts:
+                self._send_counts[name] += 1
+                if self._send_counts[name] >= limit:
+                    del self._send_counts[name]
         return [self.rows[name].update for name in picked]
--- a/tansywood/fleet/messages.py
+++ b/tansywood/fleet/messages.py
@@ -16,8 +16,8 @@
 Key = Annotated[str, Meta(min_length=1, max_length=200)]
 Count = Annotated[int, Meta(ge=0, le=1 << 62)]
 AllocatorIndex = Annotated[int, Meta(ge=-1, le=63)]
-LIFE = 16  # bytes
-Life = Annotated[bytes, Meta(min_length=LIFE, max_length=LIFE)]
+LIFE_BYTES = 16  # bytes
+Life = Annotated[bytes, Meta(min_length=LIFE_BYTES, max_length=LIFE_BYTES)]
 
 
 class MessageError(ValueError):
@@ -95,7 +95,7 @@
     applied: Count
 
 
-class Seen(Struct, array_like=True, frozen=True):
+class Observation(Struct, array_like=True, frozen=True):
     """What the sender itself saw of a server, so long ago."""
 
     server: Key
@@ -108,7 +108,7 @@
 
     seq: Count
     entries: Annotated[list[ClaimEntry], Meta(max_length=64)]
-    seen: Annotated[list[Seen], Meta(max_length=64)] = []
+    seen: Annotated[list[Observation], Meta(max_length=64)] = []
     allocator: AllocatorIndex = -1  # whose slice is asked for; -1: of the one that is asked
 
 
@@ -150,7 +150,9 @@
 
     sender: Name
     address: Place  # where the sender is asked
-    to: Annotated[bytes, Meta(max_length=LIFE)]  # the life this is for; empty in a hello alone
+    to: Annotated[
+        bytes, Meta(max_length=LIFE_BYTES)
+    ]  # the life this is for; empty in a hello alone
     body: Body
 
 
--- a/tansywood/fleet/messenger.py
+++ b/tansywood/fleet/messenger.py
@@ -24,24 +24,24 @@
         self.address = address
         self.life = life
         self.now = now  # of the call under way
-        self.sends: list[tuple[str, Envelope]] = []  # to addresses
+        self.outgoing: list[tuple[str, Envelope]] = []  # to addresses
         self.lives: dict[str, bytes] = {}  # by address, of those that have spoken to us
-        self.told_lives: Mapping[str, bytes] = {}  # by address, as other members say
+        self.gossiped_lives: Mapping[str, bytes] = {}  # by address, as other members say
         self.counts = {"sent": 0, "received": 0, "stale": 0, "claims": 0, "grants": 0}
         self._hellos: dict[str, int] = {}
         self._waiting: dict[str, list[tuple[int, Body]]] = {}  # for a life to be known
 
-    def knows(self, address: str) -> bool:
+    def knows_life(self, address: str) -> bool:
         """Whether the life at this address is known."""
-        return address in self.lives or address in self.told_lives
+        return address in self.lives or address in self.gossiped_lives
 
     def send(self, address: str, body: Body) -> None:
         """To the life at this address; kept for a moment where that is not known."""
         if address == self.address:
             return
-        life = self.lives.get(address) or self.told_lives.get(address)
+        life = self.lives.get(address) or self.gossiped_lives.get(address)
         if life is not None:
-            self.put(address, life, body)
+            self.send_to_life(address, life, body)
             return
         # Dropped, first probes would be missed and first news would count as told. A claim is as
         # good as its moment and is not kept.
@@ -50,16 +50,16 @@
             waiting.append((self.now, body))
         if self.now - self._hellos.get(address, -HELLO_AGAIN) >= HELLO_AGAIN:
             self._hellos[address] = self.now
-            self.put(address, b"", Hello())
+            self.send_to_life(address, b"", Hello())
 
-    def put(self, address: str, to: bytes, body: Body) -> None:
+    def send_to_life(self, address: str, to: bytes, body: Body) -> None:
         """To this life."""
         self.counts["sent"] += 1
-        self.sends.append((address, Envelope(self.name, self.address, to, body)))
+        self.outgoing.append((address, Envelope(self.name, self.address, to, body)))
 
     def take_sends(self) -> list[tuple[str, Envelope]]:
         """Envelopes to be sent now, with their addresses."""
-        sends, self.sends = self.sends, []
+        sends, self.outgoing = self.outgoing, []
         return sends
 
     def accept(self, life: bytes, envelope: Envelope) -> bool:
@@ -70,15 +70,15 @@
         if envelope.to != self.life:
             if envelope.to:
                 self.counts["stale"] += 1
-            self.put(address, life, Welcome())
+            self.send_to_life(address, life, Welcome())
             return False
         self.lives[address] = life
         for at, said in self._waiting.pop(address, ()):
             if self.now - at <= WAITS:
-                self.put(address, life, said)
+                self.send_to_life(address, life, said)
         return True
 
-    def welcomed(self, address: str) -> None:
+    def clear_hello(self, address: str) -> None:
         """The question for the life at this address is answered."""
         self._hellos.pop(address, None)
 
--- a/tansywood/fleet/seal.py
+++ b/tansywood/fleet/seal.py
@@ -20,25 +20,25 @@
 from cryptography.hazmat.primitives.hashes import SHA256
 from cryptography.hazmat.primitives.kdf.hkdf import HKDF
 
-from tansywood.fleet.messages import LIFE
+from tansywood.fleet.messages import LIFE_BYTES
 
 VERSION = 1
-HEAD = struct.Struct(">B4s16sQ")
+HEADER = struct.Struct(">B4s16sQ")
 KEY_BYTES = 32
-MOST = 1400  # bytes of a datagram: no path of a data centre cuts it in pieces
+MAX_DATAGRAM_BYTES = 1400  # bytes of a datagram: no path of a data centre cuts it in pieces
 WINDOW = 1024  # counters behind the highest that are told apart
-LIVES = 2048  # whose keys and windows are remembered
+MAX_REMEMBERED_LIVES = 2048  # whose keys and windows are remembered
 
 
 class SealError(ValueError):
-    """A datagram that is not for us; `why` is one of WHYS, for counting."""
+    """A datagram that is not for us; `reason` is one of REFUSAL_REASONS, for counting."""
 
-    def __init__(self, why: str) -> None:
-        super().__init__(why)
-        self.why = why
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
 
 
-WHYS = ("short", "version", "stranger", "forged", "replay")
+REFUSAL_REASONS = ("short", "version", "stranger", "forged", "replay")
 
 
 class KeyFileError(ValueError):
@@ -96,8 +96,8 @@
 
     def __init__(self, keys: Sequence[bytes], bound: bytes, life: bytes) -> None:
         """`bound` is what all instances must agree on; `life` is 16 random bytes of this start."""
-        if len(life) != LIFE:
-            raise ValueError(f"a life is {LIFE} bytes")
+        if len(life) != LIFE_BYTES:
+            raise ValueError(f"a life is {LIFE_BYTES} bytes")
         self.life = life
         self.counter = 0
         self._bound = bound
@@ -122,16 +122,16 @@
     def seal(self, body: bytes) -> bytes:
         """A datagram of this body, sealed under our first key."""
         self.counter += 1
-        head = HEAD.pack(VERSION, self._name, self.life, self.counter)
+        head = HEADER.pack(VERSION, self._name, self.life, self.counter)
         nonce = self.counter.to_bytes(12, "big")
         return head + self._own.encrypt(nonce, body, head + self._bound)
 
     def open(self, data: bytes) -> tuple[bytes, bytes]:
         """The sender's life and the body. SealError on what nobody of this fleet made, or made
         for another time; nothing is remembered of it."""
-        if len(data) < HEAD.size + 16:
+        if len(data) < HEADER.size + 16:
             raise SealError("short")
-        version, name, life, counter = HEAD.unpack_from(data)
+        version, name, life, counter = HEADER.unpack_from(data)
         if version != VERSION:
             raise SealError("version")
         key = self._keys.get(name)
@@ -143,7 +143,7 @@
             raise SealError("replay")
         try:
             body = cipher.decrypt(
-                counter.to_bytes(12, "big"), data[HEAD.size :], data[: HEAD.size] + self._bound
+                counter.to_bytes(12, "big"), data[HEADER.size :], data[: HEADER.size] + self._bound
             )
         except InvalidTag:
             raise SealError("forged") from None
@@ -152,14 +152,14 @@
             # An honest life that is forgotten comes back with an empty window: all it could
             # be given again is its own past to us, and that is for this life of ours alone.
             self._others[name, life] = (cipher, window)
-            if len(self._others) > LIVES:
+            if len(self._others) > MAX_REMEMBERED_LIVES:
                 self._others.popitem(last=False)
         else:
             self._others.move_to_end((name, life))
         return life, body
 
 
-def bound_to(fleet: str, first: Sequence[str], hand_on: bool = False) -> bytes:
+def fleet_binding(fleet: str, first: Sequence[str], hand_on: bool = False) -> bytes:
     """What binds a datagram to a fleet: its name, its first addresses in order, and whether a
     slice may be granted by another than its allocator. Who disagrees on these must be granted
     nothing."""
--- a/tansywood/fleet/signals.py
+++ b/tansywood/fleet/signals.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from tansywood.fleet.messages import Seen
+from tansywood.fleet.messages import Observation
 from tansywood.fleet.terms import SECOND
 
 FRESH = 3 * SECOND  # evidence is believed so long
@@ -24,8 +24,8 @@
 class Kind(IntEnum):
     """What an instance saw of a server."""
 
-    GOOD = 0  # it has answered
-    OUT = 1  # ejected: errors in a row, no answer, no connection
+    ANSWERED = 0  # it has answered
+    EJECTED = 1  # ejected: errors in a row, no answer, no connection
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,10 +41,10 @@
         self._words: dict[str, dict[bytes, _Word]] = {}
         self._of: dict[bytes, dict[str, _Word]] = {}
 
-    def hear(self, now: int, source: bytes, seen: Iterable[Seen]) -> None:
+    def record(self, now: int, source: bytes, seen: Iterable[Observation]) -> None:
         """What a source says it saw. Older than what it said before, it changes nothing."""
         for row in seen:
-            if row.kind not in (Kind.GOOD, Kind.OUT) or row.age > OLDEST:
+            if row.kind not in (Kind.ANSWERED, Kind.EJECTED) or row.age > OLDEST:
                 continue
             word = _Word(Kind(row.kind), now - row.age)
             known = self._words.get(row.server, {}).get(source)
@@ -56,7 +56,7 @@
         """Whether a source's bad words count: not where most of what it tells of is bad, for
         then the fault is more likely its own (its network, its clock)."""
         words = [w for w in self._of.get(source, {}).values() if now - w.at <= FRESH]
-        bad = sum(w.kind == Kind.OUT for w in words)
+        bad = sum(w.kind == Kind.EJECTED for w in words)
         return len(words) < 2 or bad <= MOST_PART * len(words)
 
     def doubted(self, now: int, tenants: Iterable[str]) -> list[str]:
@@ -68,19 +68,19 @@
             if server.partition("/")[0] not in wanted:
                 continue
             fresh = {s: w for s, w in words.items() if now - w.at <= FRESH}
-            bad = sum(w.kind == Kind.OUT and self.sound(now, s) for s, w in fresh.items())
-            good = sum(w.kind == Kind.GOOD for w in fresh.values())
+            bad = sum(w.kind == Kind.EJECTED and self.sound(now, s) for s, w in fresh.items())
+            good = sum(w.kind == Kind.ANSWERED for w in fresh.values())
             if bad >= SOURCES and bad > good:
                 found.append(server)
         return sorted(found)
 
-    def back(self, now: int, seen: Iterable[Seen]) -> list[str]:
+    def recovered(self, now: int, seen: Iterable[Observation]) -> list[str]:
         """Of the servers that this claim calls out, those that have answered somebody since."""
         found = []
         for row in seen:
-            if row.kind == Kind.OUT:
+            if row.kind == Kind.EJECTED:
                 words = self._words.get(row.server, {}).values()
-                if any(w.kind == Kind.GOOD and now - w.at <= FRESH // 3 for w in words):
+                if any(w.kind == Kind.ANSWERED and now - w.at <= FRESH // 3 for w in words):
                     found.append(row.server)
         return found
 
--- a/tansywood/fleet/status.py
+++ b/tansywood/fleet/status.py
@@ -20,21 +20,21 @@
 
 # Between two words to a worker on a tenant that rests. Renewed twice a second for 1.8 s, what it
 # has holds beyond the next word though one renewal is lost; with 0.75 s here it did not.
-TOLD_RESTING = SECOND // 2
+IDLE_TENANT_UPDATE_INTERVAL_NS = SECOND // 2
 
 
-class Told:
+class LastWorkerUpdate:
     """What one worker was told last of the tenants that it has."""
 
     def __init__(self) -> None:
         self._last: dict[str, tuple[int, int]] = {}  # by tenant: when, and the version then
         self._version = -1  # at the last word on any of them
 
-    def due(self, instance: Instance, now: int, tenant: str, demand: Demand) -> bool:
+    def is_due(self, instance: Instance, now: int, tenant: str, demand: Demand) -> bool:
         """Whether to tell the worker of this tenant now. What rests is told where an amount has
         changed, and now and then for how long it holds."""
         last = self._last.get(tenant)
-        if last is None or not demand.rests or now - last[0] >= TOLD_RESTING:
+        if last is None or not demand.rests or now - last[0] >= IDLE_TENANT_UPDATE_INTERVAL_NS:
             return True
         holder = instance.holder
         return holder.version != self._version and any(
@@ -49,7 +49,7 @@
             del self._last[tenant]
 
 
-def for_worker(instance: Instance, now: int, worker: str, told: Told) -> dict[str, Any]:
+def for_worker(instance: Instance, now: int, worker: str, told: LastWorkerUpdate) -> dict[str, Any]:
     """Amounts of the tenants that a worker has, and for how many nanoseconds they hold. Those that
     are not named are as they were told before."""
     working = instance.members.working()
@@ -58,7 +58,7 @@
     tenants = {
         tenant: _tenant_for_worker(instance, now, tenant, working)
         for tenant in hosted
-        if told.due(instance, now, tenant, by_tenant[tenant])
+        if told.is_due(instance, now, tenant, by_tenant[tenant])
     }
     # The version comes last: a look at an amount may have made another one.
     version = instance.holder.version
@@ -85,11 +85,11 @@
         else None,
         "left": max(end - now, 0),
         "doubted": [s for s, full in servers.items() if evidence.doubted(now, full)],
-        "back": [s for s, full in servers.items() if evidence.back(now, full)],
+        "back": [s for s, full in servers.items() if evidence.recovered(now, full)],
         "tries": {
-            s: turns.wait(full, working, instance.name)
+            s: turns.takeover_delay(full, working, instance.name)
             for s, full in servers.items()
-            if evidence.out(full)
+            if evidence.ejected_locally(full)
         },
     }
 
@@ -129,7 +129,7 @@
             {
                 "name": name,
                 "address": u.address,
-                "state": "drains" if u.drains and m.there else m.state.name.lower(),
+                "state": "drains" if u.drains and m.present else m.state.name.lower(),
                 "for_s": round((now - m.since) / SECOND, 1),
                 "incarnation": u.incarnation,
                 "zone": u.zone,
--- a/tansywood/fleet/subsets.py
+++ b/tansywood/fleet/subsets.py
@@ -1,7 +1,7 @@
 """Which instance uses which servers: rendezvous and deterministic subsets. Pure.
 
 All are here because they are held against one another by balance, by moves for each join and
-leave and by connections opened (`benchmarks/fleet`); the service uses `chosen`.
+leave and by connections opened (`benchmarks/fleet`); the service uses `assigned_servers`.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
     return row[at * size : (at + 1) * size]
 
 
-def chosen(
+def assigned_servers(
     instance: str, members: Sequence[str], servers: Mapping[str, float], places: int
 ) -> list[str]:
     """The servers that choose this instance: each chooses as many instances as it has places,
@@ -110,14 +110,14 @@
         self._span = span
         self._rows: dict[str, _Subset] = {}
 
-    def of(
+    def servers_in_use(
         self, now: int, tenant: str, members: Sequence[str], servers: Sequence[str], places: int
     ) -> list[str]:
         """Of this tenant's servers, with so many places at each."""
         made_of = (tuple(members), tuple(servers), places)
         known = self._rows.get(tenant)
         if known is None or known.made_of != made_of:
-            new = chosen(self._instance, members, dict.fromkeys(servers, 1.0), places)
+            new = assigned_servers(self._instance, members, dict.fromkeys(servers, 1.0), places)
             if known is None:
                 known = self._rows[tenant] = _Subset(made_of, new, new, now - self._span)
             elif known.new != new:
--- a/tansywood/lease/placement.py
+++ b/tansywood/lease/placement.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterable
 
-from tansywood.fleet.turns import phase
+from tansywood.fleet.turns import phase_offset
 from tansywood.lease.context import Context
 from tansywood.lease.spread import Ranking, misplaced
 from tansywood.lease.terms import SECOND
@@ -29,7 +29,7 @@
         self.draining = False
         self._context = context
         self._born = -1  # when it was looked at first
-        self._next_move = phase(context.name, MOVE_EVERY)  # not all at once
+        self._next_move = phase_offset(context.name, MOVE_EVERY)  # not all at once
 
     def begin(self, now: int) -> None:
         """The first look at the clock."""
--- a/tansywood/lease/spread.py
+++ b/tansywood/lease/spread.py
@@ -10,7 +10,7 @@
 from heapq import nsmallest
 
 from tansywood.fleet.subsets import score
-from tansywood.fleet.turns import order
+from tansywood.fleet.turns import rank_members
 
 NEAR = 3  # instances that ask for one lease: a holder and two that would follow it
 
@@ -55,7 +55,7 @@
     row = list(members)
     if not row:
         return {}
-    found = {name: order(name, row)[0] for name in names}
+    found = {name: rank_members(name, row)[0] for name in names}
     return {name: first for name, first in found.items() if first != me}
 
 
--- a/tansywood/service/fleet.py
+++ b/tansywood/service/fleet.py
@@ -23,11 +23,18 @@
 from tansywood.fleet.instance import Instance
 from tansywood.fleet.keyfile import KeyFile
 from tansywood.fleet.messages import MessageError, pack, unpack
-from tansywood.fleet.seal import MOST, WHYS, KeyFileError, Seal, SealError, bound_to
+from tansywood.fleet.seal import (
+    MAX_DATAGRAM_BYTES,
+    REFUSAL_REASONS,
+    KeyFileError,
+    Seal,
+    SealError,
+    fleet_binding,
+)
 from tansywood.fleet.settings import LEASE_MS, FleetSettings
 from tansywood.fleet.share import Limits, limits_of
 from tansywood.fleet.signals import Kind
-from tansywood.fleet.terms import SECOND, Terms
+from tansywood.fleet.terms import SECOND, GrantTerms
 from tansywood.service import part
 from tansywood.service.endpoint import Clock, Endpoint
 from tansywood.service.follow import Follower
@@ -80,13 +87,13 @@
         life = os.urandom(16)
         self.key_file = KeyFile(settings.key_file, self.log)
         self.keys = self.key_file()
-        self.bound = bound_to(settings.name, settings.first, settings.hand_on)
+        self.bound = fleet_binding(settings.name, settings.first, settings.hand_on)
         self.seal = Seal(self.keys, self.bound, life)
         self.instance = Instance(
             settings.instance,
             settings.address,
             settings.first,
-            Terms(),
+            GrantTerms(),
             Random(int.from_bytes(life, "big")),
             life,
             clock.wall_ms(),
@@ -103,7 +110,7 @@
             )
         if settings.hand_on and self.leases is not None:
             self.instance.hand_on(self.may_grant)
-        self.refused = dict.fromkeys((*WHYS, "message"), 0)
+        self.refused = dict.fromkeys((*REFUSAL_REASONS, "message"), 0)
         self.too_long = 0
         self.follower = Follower(place.feed, "fleet", self.changed)
         self.limits: dict[str, tuple[str, Limits]] = {}  # by tenant's uid, with its name
@@ -159,7 +166,7 @@
             life, body = self.seal.open(data)
             envelope = unpack(body)
         except SealError as err:
-            self.refused[err.why] += 1
+            self.refused[err.reason] += 1
             return
         except MessageError:
             self.refused["message"] += 1
@@ -212,7 +219,7 @@
         """Send what is to be sent, tell workers what is new, print what happened."""
         for address, envelope in self.instance.take_sends():
             data = self.seal.seal(pack(envelope))
-            self.too_long += len(data) > MOST
+            self.too_long += len(data) > MAX_DATAGRAM_BYTES
             self.endpoint.send(data, parse_address(address))
         for event in self.instance.events.take_fresh():
             self.log(f"event {event.name} {event.what}: {event.why}")
--- a/tansywood/service/leases.py
+++ b/tansywood/service/leases.py
@@ -114,7 +114,7 @@
         peers: dict[str, Peer] = {}
         for name, m in members.rows.items():
             r = m.update
-            works = m.there and not r.drains
+            works = m.present and not r.drains
             peers[name] = Peer(name, r.address, r.life, m.since, works, m.state == State.ALIVE)
         self.client.know(now, peers, members.own.drains)
 
--- a/tansywood/service/sharing.py
+++ b/tansywood/service/sharing.py
@@ -102,9 +102,9 @@
     seen = {}
     for name, number in numbers(hosted.settings).items():
         if number in away:
-            seen[name] = (int(Kind.OUT), 0)
+            seen[name] = (int(Kind.EJECTED), 0)
         elif number in good:
-            seen[name] = (int(Kind.GOOD), good[number])
+            seen[name] = (int(Kind.ANSWERED), good[number])
     return seen
 
 
--- a/tests/distribution/test_sealing.py
+++ b/tests/distribution/test_sealing.py
@@ -19,7 +19,7 @@
 from tansywood.distribution.refusals import LOG_INTERVAL_NS, REMEDIES, RefusalLog
 from tansywood.distribution.stream import FRAME_LENGTH, MAX_SEALED_BYTES, SealedStream
 from tansywood.fleet import seal as seal_module
-from tansywood.fleet.messages import LIFE
+from tansywood.fleet.messages import LIFE_BYTES
 from tansywood.fleet.seal import Seal, SealError
 
 KEY, OTHER_KEY = bytes(range(32)), bytes(32)
@@ -289,7 +289,7 @@
 
 def test_a_life_is_never_used_twice() -> None:
     lives = {End(True).life for _ in range(100)}
-    assert len(lives) == 100 and all(len(life) == LIFE for life in lives)
+    assert len(lives) == 100 and all(len(life) == LIFE_BYTES for life in lives)
 
 
 def test_the_log_names_the_peer_and_the_remedy_and_is_bounded() -> None:
@@ -309,4 +309,4 @@
 
 
 def test_each_reason_of_a_seal_has_a_remedy() -> None:
-    assert set(seal_module.WHYS) <= set(REMEDIES)
+    assert set(seal_module.REFUSAL_REASONS) <= set(REMEDIES)
--- a/tests/distribution/test_stream.py
+++ b/tests/distribution/test_stream.py
@@ -32,7 +32,7 @@
 from tansywood.distribution.server import SourceServer
 from tansywood.distribution.source import Source
 from tansywood.distribution.stream import FRAME_LENGTH, MAX_SEALED_BYTES
-from tansywood.fleet.messages import LIFE
+from tansywood.fleet.messages import LIFE_BYTES
 from tansywood.fleet.seal import Seal
 from windrelay.config import Address
 
@@ -90,10 +90,10 @@
 
     async def connect(self, key: bytes = KEY, fleet: str = FLEET, life: bytes | None = None) -> Raw:
         reader, writer = await asyncio.open_connection(*self.at)
-        ours = life or hashlib.sha256(str(time.monotonic_ns()).encode()).digest()[:LIFE]
+        ours = life or hashlib.sha256(str(time.monotonic_ns()).encode()).digest()[:LIFE_BYTES]
         writer.write(ours)
         async with asyncio.timeout(LIMIT_S):
-            theirs = await reader.readexactly(LIFE)
+            theirs = await reader.readexactly(LIFE_BYTES)
         rows = [b"tansywood distribution 1", fleet.encode(), ours, theirs]
         bound = hashlib.sha256(b"\n".join(rows)).digest()
         return Raw(reader, writer, Seal([key], bound, ours))
@@ -171,7 +171,7 @@
 
 async def replayed(listener: Listener) -> Raw:
     """Frames of a recorded connection, with its life, in a new one."""
-    life = bytes(LIFE)
+    life = bytes(LIFE_BYTES)
     recorded = await listener.connect(life=life)
     data = recorded.say(Hello("n"))
     assert isinstance(await recorded.hear(), Welcome)
--- a/tests/fleet/test_conserved.py
+++ b/tests/fleet/test_conserved.py
@@ -18,14 +18,16 @@
 )
 from tansywood.fleet.instance import Instance
 from tansywood.fleet.messages import Claim, ClaimEntry, Grant
-from tansywood.fleet.terms import SECOND, Terms
+from tansywood.fleet.terms import SECOND, GrantTerms
 from tests.fleet.worlds import LIMITS, TENANT, WHOLES, Broken, history, settle, want, world
 
 CLOCKS = {"a": 0.955, "b": 1.045, "c": 1.0, "d": 0.96, "e": 1.04}
 SEEDS = range(40)
 
 
-def play(seed: int, terms: Terms | None = None, clocks: dict[str, float] | None = None) -> World:
+def play(
+    seed: int, terms: GrantTerms | None = None, clocks: dict[str, float] | None = None
+) -> World:
     made = world(list("abcde"), 3, seed, clocks or CLOCKS, terms)
     for name in made.hosts:
         want(made, name, 60, 4)
@@ -135,7 +137,7 @@
 def test_without_the_tail_of_requests_under_way_it_breaks(monkeypatch: pytest.MonkeyPatch) -> None:
     for seed in range(5):
         cut_off_under_load(seed)
-    monkeypatch.setattr(Terms, "after", lambda self, tail: 0)
+    monkeypatch.setattr(GrantTerms, "request_tail_ns", lambda self, tail: 0)
     with pytest.raises(Broken):
         for seed in range(5):
             cut_off_under_load(seed)
@@ -170,7 +172,7 @@
 def in_use_after_an_answer_that_was_overtaken() -> int:
     """Of 1,000 units at one allocator: what two holders use once the answer to the first claim of
     one comes late, behind what has been freed by its second."""
-    terms, key, start = Terms(), rate_key(TENANT), 100 * SECOND
+    terms, key, start = GrantTerms(), rate_key(TENANT), 100 * SECOND
     allocator = Allocator(terms, 1, 0, 0)
     allocator.set_whole(key, 1000, 0)
     late, other = Holder(terms, 1), Holder(terms, 1)
@@ -181,11 +183,11 @@
 
     overtaken = asked(late, b"l" * 16, 900)
     asked(other, b"o" * 16, 900)
-    allocator.slices[key].allocated_at = start - terms.round  # a round later
+    allocator.slices[key].allocated_at = start - terms.claim_interval_ns  # a round later
     assert late.granted(start, 0, asked(late, b"l" * 16, 10))
     late.confirm(start, key, 0, late.version)
     asked(late, b"l" * 16, 10)
-    allocator.slices[key].allocated_at = start - terms.round
+    allocator.slices[key].allocated_at = start - terms.claim_interval_ns
     assert other.granted(start, 0, asked(other, b"o" * 16, 900))
     late.granted(start + 1, 0, overtaken)
     return late.amount(start + 1, key) + other.amount(start + 1, key)
@@ -211,7 +213,7 @@
 
 
 def test_a_limit_that_is_taken_out_and_put_back_waits_for_what_was_granted() -> None:
-    allocator = Allocator(Terms(), 1, 0, 0)
+    allocator = Allocator(GrantTerms(), 1, 0, 0)
     key = rate_key(TENANT)
     allocator.set_whole(key, 1000, 0)
     allocator.keep([], 50 * SECOND)
@@ -230,7 +232,7 @@
 
 
 def test_a_longer_deadline_binds_what_is_granted_already() -> None:
-    allocator = Allocator(Terms(), 1, 0, 0)
+    allocator = Allocator(GrantTerms(), 1, 0, 0)
     key, who, other = open_key(TENANT), b"a" * 16, b"b" * 16
     allocator.set_whole(key, 100, SECOND)
     start = 10 * SECOND
@@ -251,7 +253,7 @@
     assert made.amounts(rate_key(TENANT))["a"] > 0.85 * LIMITS.rate
     want(made, "a", 5, 1)
     want(made, "b", 400, 30)
-    made.run(6 * made.terms.round / SECOND)  # rounds
+    made.run(6 * made.terms.claim_interval_ns / SECOND)  # rounds
     assert made.amounts(rate_key(TENANT))["b"] > 0.85 * LIMITS.rate
 
 
@@ -298,7 +300,7 @@
     made.pause("d")
     made.run(1.0)
     assert sum(a for n, a in made.amounts(rate_key(TENANT)).items()) <= before * 1.01
-    made.run(made.terms.length / SECOND)
+    made.run(made.terms.grant_ns / SECOND)
     assert sum(a for n, a in made.amounts(rate_key(TENANT)).items()) > 0.97 * LIMITS.rate
 
 
@@ -327,7 +329,7 @@
     made.hosts["d"].out.clear()
     # The worker's last word: all has ended.
     end_in_order(made, "d", lambda d, now: d.report(now, "w", d.holder.version, {}, {}))
-    made.run(3 * made.terms.round / SECOND)
+    made.run(3 * made.terms.claim_interval_ns / SECOND)
     assert sum(made.amounts(open_key(TENANT)).values()) > 0.9 * LIMITS.open
 
 
--- a/tests/fleet/test_idle.py
+++ b/tests/fleet/test_idle.py
@@ -16,7 +16,7 @@
 from tansywood.fleet.instance import Instance
 from tansywood.fleet.messages import Claim, Grant, GrantEntry
 from tansywood.fleet.share import Limits
-from tansywood.fleet.terms import MS, SECOND, Terms
+from tansywood.fleet.terms import MS, SECOND, GrantTerms
 from tests.fleet.worlds import TENANT, WHOLES, history, settle, want, world
 
 ALLOCATORS = 3
@@ -35,7 +35,7 @@
 
     def flush(self, name: str) -> None:
         made = self.hosts[name].instance
-        for address, envelope in made.messenger.sends if made is not None else ():
+        for address, envelope in made.messenger.outgoing if made is not None else ():
             if isinstance(envelope.body, Claim):
                 self.claims[name, address] += 1
                 if address == self.first[-1]:
@@ -67,7 +67,7 @@
 def test_every_instance_claims_once_a_round_and_an_allocator_no_more(tenants: int) -> None:
     made = idle(tenants)
     made.run(SPAN_S)
-    rounds = SPAN_S * SECOND / Terms().round
+    rounds = SPAN_S * SECOND / GrantTerms().claim_interval_ns
     for name in NAMES:
         for address in made.first:
             if address != made.hosts[name].address:
@@ -164,7 +164,7 @@
 
     monkeypatch.setattr(status, "_tenant_for_worker", counted)
     made.run(SPAN_S)
-    words = SPAN_S * SECOND / status.TOLD_RESTING
+    words = SPAN_S * SECOND / status.IDLE_TENANT_UPDATE_INTERVAL_NS
     assert 0.8 * words <= min(told.values()) <= max(told.values()) <= words + 1
     told.clear()
     made.hosts["i4"].needs[rate_key("tenant-003")] = 100_000
@@ -176,7 +176,7 @@
 
 def test_a_change_of_one_tenant_works_out_that_one_alone() -> None:
     known = {f"t{n}": Limits(1000 + n, 40, 2, ("s-0", "s-1"), SECOND) for n in range(50)}
-    made = Entitlement(Terms(), 3, 1)
+    made = Entitlement(GrantTerms(), 3, 1)
     made.set_tenants(known)
     before = {tenant: made.keys[tenant] for tenant in known}
     changed = dict(known, t7=Limits(9, 9, 0, ("s-0",), SECOND))
@@ -184,7 +184,7 @@
     made.set_tenants(changed)
     assert [t for t in changed if made.keys[t] is not before[t]] == ["t7"]
     # What was worked out bit by bit is what one that is told all at once has.
-    anew = Entitlement(Terms(), 3, 1)
+    anew = Entitlement(GrantTerms(), 3, 1)
     anew.set_tenants(changed)
     assert made.keys == anew.keys and made._floors == anew._floors and made.tenants == anew.tenants
 
@@ -217,7 +217,7 @@
 
 
 def test_a_worker_s_word_frees_what_was_taken_back_and_no_earlier_one_does() -> None:
-    entitlement = Entitlement(Terms(), 1, -1)
+    entitlement = Entitlement(GrantTerms(), 1, -1)
     entitlement.set_tenants({"t": LIMITS})
     holder, soon = entitlement.holder, list[int]()
     demands = Demands(entitlement, soon.append)
@@ -263,7 +263,7 @@
 
 
 def test_allocators_are_told_at_once_of_what_is_free_and_of_nothing_else() -> None:
-    holder = Holder(Terms(), 1)
+    holder = Holder(GrantTerms(), 1)
 
     def confirmed(now: int) -> bool:
         return holder.confirm(now, "t/rate", 0, holder.version)
--- a/tests/fleet/test_layout.py
+++ b/tests/fleet/test_layout.py
@@ -17,10 +17,10 @@
     Hello,
     MemberUpdate,
     Nack,
+    Observation,
     Ping,
     PingFor,
     Return,
-    Seen,
     Sync,
     Welcome,
     pack,
@@ -28,7 +28,7 @@
 )
 
 UPDATE = MemberUpdate("a", "10.0.0.1:1", b"l" * 16, 7, 1, 1, True, "1", "z", "b")
-CLAIM = Claim(2, [ClaimEntry("t/rate", 5, 3)], [Seen("t/s", 1, 9)], 1)
+CLAIM = Claim(2, [ClaimEntry("t/rate", 5, 3)], [Observation("t/s", 1, 9)], 1)
 GRANT = Grant(2, [GrantEntry("t/rate", 4)], ["t/s"], ["t/q"], 1)
 HEAD = "94a161aa31302e302e302e313a31c410" + "74" * 16
 UPDATE_HEX = "9aa161aa31302e302e302e313a31c410" + "6c" * 16 + "070101c3a131a17aa162"
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -110,28 +110,28 @@
 
 def test_old_news_after_newer_changes_nothing() -> None:
     m = alone()
-    m.hear(1, update("b", 2, 3, State.ALIVE), "c")
-    m.hear(2, update("b", 2, 2, State.LOST), "c")
+    m.apply_update(1, update("b", 2, 3, State.ALIVE), "c")
+    m.apply_update(2, update("b", 2, 2, State.LOST), "c")
     assert m.rows["b"].state.name == "ALIVE"
-    m.hear(3, update("b", 2, 3, State.LOST), "c")
+    m.apply_update(3, update("b", 2, 3, State.LOST), "c")
     assert m.rows["b"].state.name == "LOST"
-    m.hear(4, update("b", 2, 3, State.ALIVE), "c")  # what it was before
-    m.hear(5, update("b", 2, 3, State.SUSPECT), "c")
+    m.apply_update(4, update("b", 2, 3, State.ALIVE), "c")  # what it was before
+    m.apply_update(5, update("b", 2, 3, State.SUSPECT), "c")
     assert m.rows["b"].state.name == "LOST"
-    m.hear(6, update("b", 2, 4, State.ALIVE), "c")
+    m.apply_update(6, update("b", 2, 4, State.ALIVE), "c")
     assert m.rows["b"].state.name == "ALIVE"
 
 
 def test_a_start_by_a_clock_a_day_behind_goes_before_the_life_it_was() -> None:
     m = alone()
-    m.hear(1, MemberUpdate("a", m.own.address, b"\7" * 16, 86_400_000, 9, State.ALIVE), "c")
+    m.apply_update(1, MemberUpdate("a", m.own.address, b"\7" * 16, 86_400_000, 9, State.ALIVE), "c")
     assert m.own.born > 86_400_000
     assert not m.conflict
 
 
 def test_a_second_of_our_name_is_told_and_kept_out() -> None:
     m = alone()
-    m.hear(1, update("a", 9, 0, State.ALIVE, born=3), "c")
+    m.apply_update(1, update("a", 9, 0, State.ALIVE, born=3), "c")
     assert m.conflict == "10.0.0.9:9"
     assert [e.what for e in m.events] == ["conflict"]
 
@@ -139,23 +139,23 @@
 def test_who_was_first_keeps_a_name_until_it_is_lost() -> None:
     m = alone()
     first, second = update("b", 2, 0, State.ALIVE), update("b", 3, 0, State.ALIVE, born=9)
-    m.hear(1, first, "c")
-    m.hear(2, second, "c")
+    m.apply_update(1, first, "c")
+    m.apply_update(2, second, "c")
     assert m.rows["b"].update.address == first.address
-    m.hear(3, update("b", 2, 0, State.LOST), "c")
-    m.hear(4, second, "c")
+    m.apply_update(3, update("b", 2, 0, State.LOST), "c")
+    m.apply_update(4, second, "c")
     assert m.rows["b"].update.address == second.address
 
 
 def test_the_more_accuse_the_sooner_it_is_lost() -> None:
     m = alone()
     for n in range(20):
-        m.hear(0, update(f"m{n:02}", 20 + n, 0, State.ALIVE), "c")
+        m.apply_update(0, update(f"m{n:02}", 20 + n, 0, State.ALIVE), "c")
     ends = []
     for accuser in ("c", "d", "e", "f", "g"):
         one = msgspec.structs.replace(update("m01", 21, 0, State.SUSPECT), accuser=accuser)
         for teller in ("x", "y", "z"):  # told on by others it is still one accusation
-            m.hear(1, one, teller)
+            m.apply_update(1, one, teller)
         ends.append(m.rows["m01"].ends)
     assert ends[0] == 1 + longest(21)
     assert ends == sorted(ends, reverse=True)
@@ -166,7 +166,7 @@
 
 def test_who_is_taken_for_lost_says_otherwise() -> None:
     m = alone()
-    m.hear(1, MemberUpdate("a", m.own.address, m.own.life, 5, 0, State.LOST), "c")
+    m.apply_update(1, MemberUpdate("a", m.own.address, m.own.life, 5, 0, State.LOST), "c")
     assert (m.own.incarnation, m.own.state) == (1, State.ALIVE)
     assert m.health == 1
 
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -11,11 +11,11 @@
 from tansywood.fleet import turns
 from tansywood.fleet.allocation import floor_of, slice_of
 from tansywood.fleet.maxmin import allocate, max_min_shares
-from tansywood.fleet.messages import Seen
+from tansywood.fleet.messages import Observation
 from tansywood.fleet.settings import faults
 from tansywood.fleet.signals import FRESH, Kind, Signals
-from tansywood.fleet.subsets import chosen, deterministic, overlapped, rendezvous
-from tansywood.fleet.terms import SECOND, Terms
+from tansywood.fleet.subsets import assigned_servers, deterministic, overlapped, rendezvous
+from tansywood.fleet.terms import SECOND, GrantTerms
 
 NEEDS = st.dictionaries(st.integers(0, 30), st.integers(0, 10_000), min_size=1, max_size=20)
 
@@ -98,49 +98,51 @@
 
 def test_every_server_is_used_and_by_no_more_than_it_has_places() -> None:
     members = [f"i{n:03}" for n in range(50)]
-    subsets = {m: chosen(m, members, SERVERS, 6) for m in members}
+    subsets = {m: assigned_servers(m, members, SERVERS, 6) for m in members}
     used = Counter(s for some in subsets.values() for s in some)
     assert set(used) == set(SERVERS)
     assert all(6 <= n <= 7 for n in used.values())  # one more where nobody chose somebody
     assert all(subsets.values())
-    joined = {m: chosen(m, [*members, "new"], SERVERS, 6) for m in [*members, "new"]}
+    joined = {m: assigned_servers(m, [*members, "new"], SERVERS, 6) for m in [*members, "new"]}
     moved = sum(len(set(subsets[m]) - set(joined[m])) for m in members)
     assert 0 < moved <= 2.5 * 60 * 6 / 51  # about 1/n
-    few = {m: chosen(m, members, {"s-0": 1.0}, 3) for m in members}
+    few = {m: assigned_servers(m, members, {"s-0": 1.0}, 3) for m in members}
     assert all(few.values())  # 50 and three: all know where to wait
-    assert chosen("a", ["a"], SERVERS, 0) == sorted(SERVERS)
+    assert assigned_servers("a", ["a"], SERVERS, 0) == sorted(SERVERS)
 
 
 def test_a_turn_passes_on_and_comes_back() -> None:
     members = [f"m{n}" for n in range(9)]
     tasks = [f"t{n}" for n in range(900)]
-    first = {t: turns.order(t, members)[0] for t in tasks}
+    first = {t: turns.rank_members(t, members)[0] for t in tasks}
     assert max(Counter(first.values()).values()) < 2 * 100  # spread
     gone = first["t0"]
     rest = [m for m in members if m != gone]
-    moved = [t for t in tasks if turns.order(t, rest)[0] != first[t]]
+    moved = [t for t in tasks if turns.rank_members(t, rest)[0] != first[t]]
     assert {first[t] for t in moved} == {gone}  # only its own
-    waits = sorted(turns.wait("t0", members, m) for m in members)
+    waits = sorted(turns.takeover_delay("t0", members, m) for m in members)
     assert waits[0] == 0 and waits[1] == SECOND and waits[-1] == 3 * SECOND
-    phases = {turns.phase(m, 1000) // 100 for m in (f"x{n}" for n in range(100))}
+    phases = {turns.phase_offset(m, 1000) // 100 for m in (f"x{n}" for n in range(100))}
     assert len(phases) > 8
 
 
 def told(signals: Signals, source: int, now: int = 0, **kinds: Kind) -> None:
-    rows = [Seen(f"cork/{s}", int(kind), 0) for s, kind in kinds.items()]
-    signals.hear(now, bytes([source]) * 16, rows)
+    rows = [Observation(f"cork/{s}", int(kind), 0) for s, kind in kinds.items()]
+    signals.record(now, bytes([source]) * 16, rows)
 
 
 def test_one_wrong_instance_takes_no_server_away() -> None:
     s = Signals()
-    told(s, 1, a=Kind.OUT, b=Kind.OUT, c=Kind.OUT)  # its own network card
-    told(s, 2, a=Kind.GOOD, b=Kind.GOOD, c=Kind.GOOD)
+    told(s, 1, a=Kind.EJECTED, b=Kind.EJECTED, c=Kind.EJECTED)  # its own network card
+    told(s, 2, a=Kind.ANSWERED, b=Kind.ANSWERED, c=Kind.ANSWERED)
     assert s.doubted(0, ["cork"]) == []
-    told(s, 3, a=Kind.OUT, b=Kind.OUT, c=Kind.GOOD)  # wrong as well, and more than half of it
+    told(
+        s, 3, a=Kind.EJECTED, b=Kind.EJECTED, c=Kind.ANSWERED
+    )  # wrong as well, and more than half of it
     assert s.doubted(0, ["cork"]) == []
-    told(s, 4, a=Kind.OUT, b=Kind.GOOD, c=Kind.GOOD)
+    told(s, 4, a=Kind.EJECTED, b=Kind.ANSWERED, c=Kind.ANSWERED)
     assert s.doubted(0, ["cork"]) == []  # one sound source alone
-    told(s, 5, a=Kind.OUT, b=Kind.GOOD, c=Kind.GOOD)
+    told(s, 5, a=Kind.EJECTED, b=Kind.ANSWERED, c=Kind.ANSWERED)
     assert s.doubted(0, ["cork"]) == ["cork/a"]
     assert s.doubted(0, ["dublin"]) == []
     assert s.doubted(FRESH + 1, ["cork"]) == []  # it is not believed for ever
@@ -150,13 +152,13 @@
     s = Signals()
     one, two = b"1" * 16, b"2" * 16
     now = 10 * SECOND
-    s.hear(now, one, [Seen("cork/a", int(Kind.GOOD), 0)])
-    s.hear(now, one, [Seen("cork/a", int(Kind.OUT), SECOND)])
-    s.hear(now, two, [Seen("cork/a", int(Kind.OUT), 0)])
+    s.record(now, one, [Observation("cork/a", int(Kind.ANSWERED), 0)])
+    s.record(now, one, [Observation("cork/a", int(Kind.EJECTED), SECOND)])
+    s.record(now, two, [Observation("cork/a", int(Kind.EJECTED), 0)])
     assert s.doubted(now, ["cork"]) == []
-    assert s.back(now, [Seen("cork/a", int(Kind.OUT), 0)]) == ["cork/a"]
+    assert s.recovered(now, [Observation("cork/a", int(Kind.EJECTED), 0)]) == ["cork/a"]
     s.sweep(now + FRESH + 1)
-    assert s.back(now, [Seen("cork/a", int(Kind.OUT), 0)]) == []
+    assert s.recovered(now, [Observation("cork/a", int(Kind.EJECTED), 0)]) == []
 
 
 def test_faults_of_the_section_name_place_and_remedy() -> None:
@@ -169,6 +171,10 @@
 
 
 def test_terms_that_cannot_hold_are_refused() -> None:
-    for over in ({"round": SECOND}, {"skew": 0.5}, {"spare": SECOND}):
+    for over in (
+        {"claim_interval_ns": SECOND},
+        {"max_clock_skew": 0.5},
+        {"min_remaining_ns": SECOND},
+    ):
         with pytest.raises(ValueError):
-            Terms(**over)
+            GrantTerms(**over)
--- a/tests/fleet/test_seal.py
+++ b/tests/fleet/test_seal.py
@@ -16,11 +16,19 @@
     pack,
     unpack,
 )
-from tansywood.fleet.seal import HEAD, WINDOW, KeyFileError, Seal, SealError, bound_to, read_keys
+from tansywood.fleet.seal import (
+    HEADER,
+    WINDOW,
+    KeyFileError,
+    Seal,
+    SealError,
+    fleet_binding,
+    read_keys,
+)
 from tests.fleet.worlds import world
 
 A, B = b"a" * 32, b"b" * 32
-BOUND = bound_to("dublin", ["10.0.0.1:1"])
+BOUND = fleet_binding("dublin", ["10.0.0.1:1"])
 
 
 def seal(life: int, *keys: bytes, bound: bytes = BOUND) -> Seal:
@@ -30,7 +38,7 @@
 def why(at: Seal, data: bytes) -> str:
     with pytest.raises(SealError) as caught:
         at.open(data)
-    return caught.value.why
+    return caught.value.reason
 
 
 def test_what_one_seals_another_opens_once() -> None:
@@ -60,8 +68,12 @@
 def test_a_stranger_and_another_fleet_are_not_read() -> None:
     other = seal(2)
     assert why(other, seal(1, B).seal(b"x")) == "stranger"
-    assert why(other, seal(1, A, bound=bound_to("cork", ["10.0.0.1:1"])).seal(b"x")) == "forged"
-    assert why(other, seal(1, A, bound=bound_to("dublin", ["10.0.0.2:1"])).seal(b"x")) == "forged"
+    assert (
+        why(other, seal(1, A, bound=fleet_binding("cork", ["10.0.0.1:1"])).seal(b"x")) == "forged"
+    )
+    assert (
+        why(other, seal(1, A, bound=fleet_binding("dublin", ["10.0.0.2:1"])).seal(b"x")) == "forged"
+    )
 
 
 def test_a_key_is_changed_without_a_gap() -> None:
@@ -104,7 +116,7 @@
     for bad in (too_long, negative):
         with pytest.raises(MessageError):
             unpack(pack(bad))
-    assert HEAD.size == 29
+    assert HEADER.size == 29
 
 
 def test_an_older_and_a_newer_version_read_one_another() -> None:
@@ -126,7 +138,7 @@
     before = b.granting.allocators[b.index].outstanding("cork/rate", made.clock(made.hosts["b"]))
     now = made.clock(made.hosts["b"])
     claim = Claim(10_000, [ClaimEntry("cork/rate", 150_000, 0)])
-    b.messenger.sends.clear()
+    b.messenger.outgoing.clear()
     b.receive(now, a.life, Envelope("a", a.address, b"\0" * 16, claim))
-    assert [e.body for _, e in b.messenger.sends] == [Welcome()]  # who is here now, and no more
+    assert [e.body for _, e in b.messenger.outgoing] == [Welcome()]  # who is here now, and no more
     assert b.granting.allocators[b.index].outstanding("cork/rate", now) == before
--- a/tests/fleet/worlds.py
+++ b/tests/fleet/worlds.py
@@ -8,7 +8,7 @@
 from standins.fleet.simulated import World
 from tansywood.fleet.allocation import open_key, places_key, rate_key
 from tansywood.fleet.share import Limits
-from tansywood.fleet.terms import SECOND, Terms
+from tansywood.fleet.terms import SECOND, GrantTerms
 
 TENANT = "cork"
 LIMITS = Limits(150_000, 40, 5, ("s-0", "s-1"), SECOND)
@@ -35,7 +35,7 @@
     allocators: int = 3,
     seed: int = 1,
     clocks: Mapping[str, float] | None = None,
-    terms: Terms | None = None,
+    terms: GrantTerms | None = None,
     watched: bool = True,
     hand_on: bool = False,
 ) -> World:
--- a/tests/scale/test_measures.py
+++ b/tests/scale/test_measures.py
@@ -24,7 +24,7 @@
 def test_a_fleet_that_is_acquainted_knows_all_and_has_no_news() -> None:
     world = shipped.fleet_world(9, 3, (), (), 1)
     assert shipped.knows_all(world)
-    assert all(not s.instance.members._news for s in world.hosts.values() if s.instance)
+    assert all(not s.instance.members._send_counts for s in world.hosts.values() if s.instance)
 
 
 def test_what_is_sent_is_received_where_nothing_is_lost() -> None:
