--- a/benchmarks/scale/limits.py
+++ b/benchmarks/scale/limits.py
@@ -79,7 +79,7 @@
     before = tracemalloc.get_traced_memory()[0]
     home = shipped.Allocator(shipped.GrantTerms(), 1, 0, 0)
     for key, (whole, tail) in rows.items():
-        home.set_whole(key, whole, tail)
+        home.set_limit(key, whole, tail)
     at = 100 * shipped.SECOND
     for holder in range(model.NODES_PER_TENANT):
         life = shipped.member_update(holder).life
--- a/standins/fleet/simulated.py
+++ b/standins/fleet/simulated.py
@@ -145,7 +145,7 @@
         made.set_tenants(now, self.tenants)
         if self.granted_by is not None:
             granted_by = self.granted_by
-            made.hand_on(lambda index: granted_by[index] == name)
+            made.grant_under_leases(lambda index: granted_by[index] == name)
             for index in [i for i, who in granted_by.items() if who == name]:
                 made.start_allocating(now, index)
         self._wake(name, made)
--- a/tansywood/fleet/allocation.py
+++ b/tansywood/fleet/allocation.py
@@ -188,7 +188,7 @@
         self.slices: dict[str, _LimitSlice] = {}  # by limit key
         self._dropped: dict[str, tuple[int, int]] = {}  # when, and with what tail
 
-    def set_whole(self, key: str, whole: int, tail: int) -> None:
+    def set_limit(self, key: str, whole: int, tail: int) -> None:
         """The limit is `whole` units from now on; a request taken under a grant is over `tail`
         nanoseconds after the grant's end. A longer tail holds for outstanding grants too, a shorter
         one does not."""
@@ -328,7 +328,7 @@
         ends = [h.end for h in self._held.get(key, ()) if h.end - now > self.terms.min_remaining_ns]
         return min(ends, default=now)
 
-    def changed(self, key: str) -> int:
+    def last_changed_version(self, key: str) -> int:
         """The version at which a limit's amount changed last."""
         return self._changed.get(key, 0)
 
@@ -337,7 +337,7 @@
         at once frees what was taken back; that nothing older is in use they hear in any case with
         the next claim."""
         held = self._held.get(key)
-        if held is None or version < self.changed(key) or used > self.amount(now, key):
+        if held is None or version < self.last_changed_version(key) or used > self.amount(now, key):
             return False
         frees = False
         for h in held:
--- a/tansywood/fleet/claims.py
+++ b/tansywood/fleet/claims.py
@@ -117,13 +117,13 @@
         needs: dict[str, int] = {}
         members = self._members.working()
         for tenant, demand in demands.heard(now).items():
-            if demand.rests and not self._hosted_due(now, tenant):
+            if demand.is_idle and not self._hosted_due(now, tenant):
                 continue
-            if not demand.rests:
+            if not demand.is_idle:
                 self._hosted_at.pop(tenant, None)
             limits = self._entitlement.tenants[tenant]
             ours = self._subsets.servers_in_use(now, tenant, members, limits.servers, limits.places)
-            for key in self._entitlement.keys[tenant]:
+            for key in self._entitlement.limits_by_tenant[tenant]:
                 needs[key] = max(demand.needs.get(key, 0) - self._entitlement.floor(key), 0)
             if limits.places:
                 # Places elsewhere are only taken where nobody else wants them.
--- a/tansywood/fleet/demands.py
+++ b/tansywood/fleet/demands.py
@@ -21,10 +21,10 @@
     rate: int = 0  # thousandths of a request a second
     needs: dict[str, int] = field(default_factory=dict)  # units by limit key
     used: dict[str, int] = field(default_factory=dict)  # units by limit key
-    rests: bool = field(init=False)  # nobody asks for anything, and nothing is in use
+    is_idle: bool = field(init=False)  # nobody asks for anything, and nothing is in use
 
     def __post_init__(self) -> None:
-        self.rests = not (self.rate or any(self.needs.values()) or any(self.used.values()))
+        self.is_idle = not (self.rate or any(self.needs.values()) or any(self.used.values()))
 
 
 class Demands:
@@ -52,7 +52,7 @@
                 self._idle(now, tenant)
         for tenant, demand in hosted.items():
             known = self.by_tenant.get(tenant)
-            if known is demand and demand.rests and same:
+            if known is demand and demand.is_idle and same:
                 continue  # `granted` confirms what comes meanwhile
             if known is not None and known.worker != worker and now - known.at <= SILENT:
                 continue  # another has it and says so; this one keeps to its floor
@@ -62,12 +62,12 @@
                 need > known.needs.get(key, 0) for key, need in demand.needs.items()
             )
             self.by_tenant[tenant] = demand
-            for key in self._entitlement.keys[tenant]:
+            for key in self._entitlement.limits_by_tenant[tenant]:
                 self._confirm(now, key, demand.used.get(key, 0), version)
             if grown:
                 self._claim_soon(now)
 
-    def gone(self, now: int, worker: str) -> None:
+    def worker_ended(self, now: int, worker: str) -> None:
         """A worker's process has ended. What it had out may still be at work at servers."""
         self._versions.pop(worker, None)
         for tenant in self._of(worker):
@@ -90,8 +90,8 @@
         for key in keys:
             demand = self.by_tenant.get(tenant_of(key))
             if demand is None:
-                self._confirm(now, key, 0, self._entitlement.holder.changed(key))
-            elif demand.rests:
+                self._confirm(now, key, 0, self._entitlement.holder.last_changed_version(key))
+            elif demand.is_idle:
                 self._confirm(now, key, 0, self._versions.get(demand.worker, 0))
 
     def all_over(self, now: int) -> bool:
@@ -105,7 +105,7 @@
 
     def _idle(self, now: int, tenant: str) -> None:
         self.by_tenant.pop(tenant, None)
-        self.granted(now, self._entitlement.keys.get(tenant, ()))
+        self.granted(now, self._entitlement.limits_by_tenant.get(tenant, ()))
 
     def _confirm(self, now: int, key: str, used: int, version: int) -> None:
         """The workers go by this version and use so much; what dead ones left comes on top."""
--- a/tansywood/fleet/entitlement.py
+++ b/tansywood/fleet/entitlement.py
@@ -16,7 +16,8 @@
         """`index`: which of the allocators this instance is; -1 where it is none."""
         self.holder = Holder(terms, allocators)
         self.tenants: dict[str, Limits] = {}
-        self.keys: dict[str, dict[str, tuple[int, int]]] = {}  # by tenant: whole and tail of each
+        # By tenant and limit key: the whole limit in units, and its tail in nanoseconds.
+        self.limits_by_tenant: dict[str, dict[str, tuple[int, int]]] = {}
         self._allocators = allocators
         self._index = index
         self._floors: dict[str, int] = {}  # by limit key
@@ -26,12 +27,12 @@
         before = self.tenants
         self.tenants = dict(tenants)
         for tenant in before.keys() - tenants.keys():
-            self._forget_floors(self.keys.pop(tenant))
+            self._forget_floors(self.limits_by_tenant.pop(tenant))
         for tenant, limits in tenants.items():
             if before.get(tenant) != limits:
-                self._forget_floors(self.keys.get(tenant, ()))
-                self.keys[tenant] = limits.by_key(tenant)
-                self._know_floors(self.keys[tenant])
+                self._forget_floors(self.limits_by_tenant.get(tenant, ()))
+                self.limits_by_tenant[tenant] = limits.by_key(tenant)
+                self._know_floors(self.limits_by_tenant[tenant])
 
     def _know_floors(self, keys: Mapping[str, tuple[int, int]]) -> None:
         if self._index >= 0:
@@ -44,7 +45,9 @@
 
     def limits(self) -> dict[str, tuple[int, int]]:
         """By limit key, of all tenants: all there is of it, and its tail in nanoseconds."""
-        return {key: row for of_one in self.keys.values() for key, row in of_one.items()}
+        return {
+            key: row for of_one in self.limits_by_tenant.values() for key, row in of_one.items()
+        }
 
     def floor(self, key: str) -> int:
         """Units that we may use with nobody to ask."""
@@ -52,7 +55,7 @@
 
     def amount(self, now: int, key: str) -> int:
         """Units that we may use now, the floor included; not more than the whole."""
-        whole, _ = self.keys.get(tenant_of(key), {}).get(key, (0, 0))
+        whole, _ = self.limits_by_tenant.get(tenant_of(key), {}).get(key, (0, 0))
         return min(self.holder.amount(now, key) + self.floor(key), whole)
 
     def amounts(self, now: int, tenant: str) -> tuple[dict[str, int], int]:
@@ -60,7 +63,7 @@
         `now` where nothing is granted."""
         found: dict[str, int] = {}
         ends = []
-        for key, (whole, _) in self.keys[tenant].items():
+        for key, (whole, _) in self.limits_by_tenant[tenant].items():
             granted = self.holder.amount(now, key)
             found[key] = min(granted + self.floor(key), whole)
             if granted:
--- a/tansywood/fleet/granting.py
+++ b/tansywood/fleet/granting.py
@@ -33,11 +33,11 @@
             self.allocators[index] = Allocator(terms, count, index, now)
 
     @property
-    def handed_on(self) -> bool:
+    def uses_leases(self) -> bool:
         """Whether slices are granted under leases."""
         return self.may_grant is not None
 
-    def hand_on(self, may_grant: Callable[[int], bool]) -> None:
+    def grant_under_leases(self, may_grant: Callable[[int], bool]) -> None:
         """Slices are granted by whoever `may_grant` says may, and by nobody else from now on."""
         self.may_grant = may_grant
         self.allocators.clear()
@@ -47,7 +47,7 @@
         granted of it before is over first."""
         allocator = Allocator(self._terms, self._count, index, now)
         for key, (whole, tail) in wholes.items():
-            allocator.set_whole(key, whole, tail)
+            allocator.set_limit(key, whole, tail)
         self.allocators[index] = allocator
 
     def stop(self, index: int) -> bool:
@@ -64,7 +64,7 @@
         """All limits that there are."""
         for allocator in self.allocators.values():
             for key, (whole, tail) in wholes.items():
-                allocator.set_whole(key, whole, tail)
+                allocator.set_limit(key, whole, tail)
             allocator.keep(wholes, now)
 
     def answer(self, now: int, life: bytes, claim: Claim, evidence: Evidence) -> Grant | None:
--- a/tansywood/fleet/instance.py
+++ b/tansywood/fleet/instance.py
@@ -127,7 +127,7 @@
             self.messenger.send_to_life(address, life, grant)
 
     def _granted(self, now: int, address: str, grant: Grant) -> None:
-        if grant.allocator >= 0 and self.granting.handed_on:
+        if grant.allocator >= 0 and self.granting.uses_leases:
             index = grant.allocator
         elif address in self.allocator_addresses:
             index = self.allocator_addresses.index(address)
@@ -152,9 +152,9 @@
         self.claims.set_tenants(tenants)
         self.claims.soon(now)
 
-    def hand_on(self, may_grant: Callable[[int], bool]) -> None:
+    def grant_under_leases(self, may_grant: Callable[[int], bool]) -> None:
         """Slices are granted by whoever `may_grant` says may, and by nobody else from now on."""
-        self.granting.hand_on(may_grant)
+        self.granting.grant_under_leases(may_grant)
 
     def start_allocating(self, now: int, index: int) -> None:
         """Grant of an allocator's slice from now on, as one does that has just started: whatever
@@ -189,11 +189,11 @@
             self._note(server, "turn", f"found out here; {first}, {place} are before us")
         self._collect(now)
 
-    def gone(self, now: int, worker: str) -> None:
+    def worker_ended(self, now: int, worker: str) -> None:
         """A worker's process has ended. What it had out may still be at work at servers."""
         self.messenger.now = now
-        self.forget_told(worker)
-        self.demands.gone(now, worker)
+        self.forget_last_update(worker)
+        self.demands.worker_ended(now, worker)
 
     # ---- allocations -------------------------------------------------------------------------
 
@@ -211,7 +211,7 @@
         told = self._told.setdefault(worker, status.LastWorkerUpdate())
         return status.for_worker(self, now, worker, told)
 
-    def forget_told(self, worker: str) -> None:
+    def forget_last_update(self, worker: str) -> None:
         """It has connected anew: tell it of all tenants that it has."""
         self._told.pop(worker, None)
 
@@ -227,7 +227,7 @@
     def _claim(self, now: int, index: int, needs: dict[str, int], seen: list[Observation]) -> None:
         """One claim of one allocator, at each address where it may be."""
         claim: Claim | None = None
-        for address in self.claims.ask_at(now, index, self.granting.handed_on):
+        for address in self.claims.ask_at(now, index, self.granting.uses_leases):
             here = address == self.address
             if here and self.granting.active(index) is None:
                 continue
@@ -302,7 +302,7 @@
             if address == self.address or not over:
                 continue
             for _ in range(2):  # nobody is there to send it again
-                to = self.claims.answered_by(index) if self.granting.handed_on else address
+                to = self.claims.answered_by(index) if self.granting.uses_leases else address
                 self.messenger.send(to, Return(seqs[index], index))
                 seqs[index] += 1
         self.members.leave(now)
--- a/tansywood/fleet/status.py
+++ b/tansywood/fleet/status.py
@@ -34,11 +34,12 @@
         """Whether to tell the worker of this tenant now. What rests is told where an amount has
         changed, and now and then for how long it holds."""
         last = self._last.get(tenant)
-        if last is None or not demand.rests or now - last[0] >= IDLE_TENANT_UPDATE_INTERVAL_NS:
+        if last is None or not demand.is_idle or now - last[0] >= IDLE_TENANT_UPDATE_INTERVAL_NS:
             return True
         holder = instance.holder
         return holder.version != self._version and any(
-            holder.changed(key) > last[1] for key in instance.entitlement.keys[tenant]
+            holder.last_changed_version(key) > last[1]
+            for key in instance.entitlement.limits_by_tenant[tenant]
         )
 
     def keep(self, now: int, version: int, told: Iterable[str], hosted: Iterable[str]) -> None:
--- a/tansywood/service/fleet.py
+++ b/tansywood/service/fleet.py
@@ -109,7 +109,7 @@
                 loop, clock, settings, life, promises, self.carry, self.wake, self.log
             )
         if settings.hand_on and self.leases is not None:
-            self.instance.hand_on(self.may_grant)
+            self.instance.grant_under_leases(self.may_grant)
         self.refused = dict.fromkeys((*REFUSAL_REASONS, "message"), 0)
         self.too_long = 0
         self.follower = Follower(place.feed, "fleet", self.changed)
@@ -311,7 +311,7 @@
                 return
             name = str(first["hello"])
             self.workers[name] = writer
-            self.instance.forget_told(name)
+            self.instance.forget_last_update(name)
             while True:
                 message = await read_frame(reader)
                 if self.workers.get(name) is not writer:
@@ -327,7 +327,7 @@
             if name and self.workers.get(name) is writer:
                 del self.workers[name]
                 self.said.pop(name, None)
-                self.instance.gone(self.clock.now(), name)
+                self.instance.worker_ended(self.clock.now(), name)
                 self.flush()
 
     async def asked(self, first: dict[str, Any]) -> Mapping[str, Any]:
--- a/tests/fleet/test_conserved.py
+++ b/tests/fleet/test_conserved.py
@@ -174,7 +174,7 @@
     one comes late, behind what has been freed by its second."""
     terms, key, start = GrantTerms(), rate_key(TENANT), 100 * SECOND
     allocator = Allocator(terms, 1, 0, 0)
-    allocator.set_whole(key, 1000, 0)
+    allocator.set_limit(key, 1000, 0)
     late, other = Holder(terms, 1), Holder(terms, 1)
 
     def asked(holder: Holder, life: bytes, need: int) -> Grant:
@@ -215,15 +215,15 @@
 def test_a_limit_that_is_taken_out_and_put_back_waits_for_what_was_granted() -> None:
     allocator = Allocator(GrantTerms(), 1, 0, 0)
     key = rate_key(TENANT)
-    allocator.set_whole(key, 1000, 0)
+    allocator.set_limit(key, 1000, 0)
     allocator.keep([], 50 * SECOND)
-    allocator.set_whole(key, 1000, 0)
+    allocator.set_limit(key, 1000, 0)
     assert not allocator.ready(key, 51 * SECOND)
     assert allocator.ready(key, 52 * SECOND)
     longer = open_key(TENANT)
-    allocator.set_whole(longer, 40, 9 * SECOND)
+    allocator.set_limit(longer, 40, 9 * SECOND)
     allocator.keep([key], 60 * SECOND)
-    allocator.set_whole(longer, 40, SECOND)  # back with a shorter deadline than what is out had
+    allocator.set_limit(longer, 40, SECOND)  # back with a shorter deadline than what is out had
     assert not allocator.ready(longer, 71 * SECOND)
     assert allocator.ready(longer, 72 * SECOND)
     allocator.keep([key], 80 * SECOND)
@@ -234,10 +234,10 @@
 def test_a_longer_deadline_binds_what_is_granted_already() -> None:
     allocator = Allocator(GrantTerms(), 1, 0, 0)
     key, who, other = open_key(TENANT), b"a" * 16, b"b" * 16
-    allocator.set_whole(key, 100, SECOND)
+    allocator.set_limit(key, 100, SECOND)
     start = 10 * SECOND
     (given,) = allocator.claim(start, who, Claim(1, [ClaimEntry(key, 100, 0)]))
-    allocator.set_whole(key, 100, 20 * SECOND)
+    allocator.set_limit(key, 100, 20 * SECOND)
     (none,) = allocator.claim(start + 5 * SECOND, other, Claim(1, [ClaimEntry(key, 100, 0)]))
     assert given.amount > 90 and none.amount + given.amount <= 100
     (some,) = allocator.claim(start + 30 * SECOND, other, Claim(2, [ClaimEntry(key, 100, 1)]))
@@ -336,5 +336,5 @@
 def test_one_whose_worker_died_gives_nothing_back_before_its_requests_are_over() -> None:
     made = loaded(["a", "b", "c", "d"], 3, 7, 40, 6.0)
     # Its requests are at work at servers yet.
-    end_in_order(made, "d", lambda d, now: d.gone(now, "w"))
+    end_in_order(made, "d", lambda d, now: d.worker_ended(now, "w"))
     made.run(4.0)  # conserved all the while
--- a/tests/fleet/test_idle.py
+++ b/tests/fleet/test_idle.py
@@ -178,15 +178,19 @@
     known = {f"t{n}": Limits(1000 + n, 40, 2, ("s-0", "s-1"), SECOND) for n in range(50)}
     made = Entitlement(GrantTerms(), 3, 1)
     made.set_tenants(known)
-    before = {tenant: made.keys[tenant] for tenant in known}
+    before = {tenant: made.limits_by_tenant[tenant] for tenant in known}
     changed = dict(known, t7=Limits(9, 9, 0, ("s-0",), SECOND))
     del changed["t8"]
     made.set_tenants(changed)
-    assert [t for t in changed if made.keys[t] is not before[t]] == ["t7"]
+    assert [t for t in changed if made.limits_by_tenant[t] is not before[t]] == ["t7"]
     # What was worked out bit by bit is what one that is told all at once has.
     anew = Entitlement(GrantTerms(), 3, 1)
     anew.set_tenants(changed)
-    assert made.keys == anew.keys and made._floors == anew._floors and made.tenants == anew.tenants
+    assert (
+        made.limits_by_tenant == anew.limits_by_tenant
+        and made._floors == anew._floors
+        and made.tenants == anew.tenants
+    )
 
 
 def grant_of(instance: Instance, tenant: str, now: int) -> None:
@@ -204,7 +208,7 @@
     assert host.instance.allocations(now, "w")["tenants"] == {}
     grant_of(host.instance, "tenant-003", now)  # another amount: told at once
     assert list(host.instance.allocations(now, "w")["tenants"]) == ["tenant-003"]
-    host.instance.forget_told("w")
+    host.instance.forget_last_update("w")
     assert len(host.instance.allocations(now, "w")["tenants"]) == 10
 
 
