--- a/tansywood/distribution/__init__.py
+++ b/tansywood/distribution/__init__.py
@@ -1,7 +1,8 @@
-"""Configuration from one publisher over distributors to the instances that need it.
+"""Distributes configuration from one publisher, through distributors, to the instances.
 
-`replica` holds state at a position of a history, `source` serves it to sessions, `subscriber`
-follows a source, `interest` decides what an instance subscribes to, `rollout` sums up
-acknowledgements. These are pure: events and the time go in, messages and actions come out.
-`stream`, `server` and `client` put them on sockets.
+`replica` holds the resources as of one position in a history, `source` serves a replica to its
+subscribers, `subscriber` follows a source, `interest` decides which tenants an instance subscribes
+to, and `rollout` sums up acknowledgements. These modules do no I/O and read no clock: events and
+the time go in, messages and actions come out. `stream`, `server` and `client` connect them to
+sockets.
 """
--- a/tansywood/distribution/distributor.py
+++ b/tansywood/distribution/distributor.py
@@ -1,10 +1,10 @@
-"""A distributor: follows the publisher for everything, and serves it to instances.
+"""The distributor process: follows the publisher and serves the whole configuration to instances.
 
     python -m tansywood.distribution.distributor NAME LISTEN FLEET KEY_FILE
         --publisher IPv4:port [--publisher ...] [--counters FILE]
 
-It keeps nothing on disk: started again, it fetches everything from a publisher. Until it has
-everything for the first time, subscribers are told to come again.
+A distributor keeps nothing on disk and fetches the whole configuration from a publisher after each
+start. Until it has done so, it tells subscribers to retry later.
 """
 
 from __future__ import annotations
@@ -41,15 +41,16 @@
 from tansywood.fleet.seal import KeyFileError
 from windrelay.config import Address, parse_address
 
-REPORT_INTERVAL_S = 0.1  # between sums of rollouts that are sent upwards
-COUNTERS_INTERVAL_S = 1.0  # between two writings of the counters
-MAX_ROWS_PER_MESSAGE = 1024  # of one message of rollouts: messages.Rollouts
+REPORT_INTERVAL_S = 0.1  # between reports of rollout counts to the publisher
+COUNTERS_INTERVAL_S = 1.0  # between two writes of the counters file
+# The bounds of `messages.Rollouts`: rows and instance names in one message.
+MAX_ROWS_PER_MESSAGE = 1024
 MAX_JOINED_PER_MESSAGE = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class DistributorSettings:
-    """What a distributor is told at its start."""
+    """The settings of a distributor, from its command line or its supervisor."""
 
     name: str
     listen: Address
@@ -62,7 +63,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Counters:
-    """What a distributor has done so far, and where it stands. Upstream is the publisher."""
+    """What a distributor has done since its start, and its current state.
+
+    The publisher is upstream; everything else counts sessions of instances.
+    """
 
     name: str
     messages_in: int
@@ -85,7 +89,7 @@
 
 
 class Distributor:
-    """A subscriber of everything and a source over one replica."""
+    """A subscriber of every resource and a source for instances, over one replica."""
 
     def __init__(
         self,
@@ -98,7 +102,7 @@
         on_ready: Callable[[], None] = lambda: None,
         log: Callable[[str], None] = lambda _text: None,
     ) -> None:
-        """`on_ready` is called once, when everything is held for the first time."""
+        """Call `on_ready` once, when the whole configuration is held for the first time."""
         now = time.monotonic_ns()
         self.name = name
         self.replica = Replica(parameters.max_resumable_changes)
@@ -113,25 +117,27 @@
         self._on_ready: Callable[[], None] | None = on_ready
 
     async def start(self, listen: Address) -> Address:
-        """Listen, and follow the publisher; returns the address that is listened at."""
+        """Start listening and following the publisher; return the address listened at."""
         address = await self.server.start(listen)
         self.client.start()
         return address
 
     def stop(self) -> None:
+        """Close the connections to the publisher and to the instances."""
         self.client.stop()
         self.server.stop()
 
     def report(self) -> None:
-        """Send upwards what is news of rollouts; it waits while the publisher can't be told."""
+        """Send changed rollout counts to the publisher; without a connection they wait."""
         if not self.client.connected:
             return
-        news = self.source.report(time.monotonic_ns())
-        if news is not None:
-            for message in split_report(news):
+        report = self.source.report(time.monotonic_ns())
+        if report is not None:
+            for message in split_report(report):
                 self.client.send(message)
 
     def counters(self) -> Counters:
+        """Return the current counters, as written to the counters file."""
         bytes_in, bytes_out = self.server.totals()
         upstream_in, upstream_out, upstream_messages = self.client.totals()
         subscriber = self.client.subscriber
@@ -157,12 +163,12 @@
             longest_standstill_ms=self.server.longest_stall_ns // MS,
         )
 
-    # ---- what the publisher says -----------------------------------------------------------
+    # ---- messages of the publisher ---------------------------------------------------------
 
     def _handle_action(self, action: Action) -> None:
         now = time.monotonic_ns()
         if isinstance(action, Apply):
-            if self.source.serving:  # before that there is nobody to be told
+            if self.source.serving:  # no instance is connected before that
                 for uid in action.uids:
                     self.source.changed(uid, self.replica.resource(uid).revision, now)
             self.client.applied(action.batch)
@@ -180,7 +186,7 @@
         age = self.client.subscriber.publisher_age(now)
         if age is not None:
             self.source.note_publisher_heard(now - age)
-        self.client.flush()  # changes go into the sessions' queues before they are sent from
+        self.client.flush()  # queues the changes before `server.flush` sends them
         if self.replica.revision and not self.source.serving:
             self._begin_serving()
         self.server.flush()
@@ -193,13 +199,13 @@
             on_ready()
 
 
-def split_report(news: Rollouts) -> Iterator[Rollouts]:
-    """A report as messages that are no longer than the protocol takes."""
-    rows, joined = news.rows, news.joined
+def split_report(report: Rollouts) -> Iterator[Rollouts]:
+    """Split a report into messages within the bounds of the protocol."""
+    rows, joined = report.rows, report.joined
     while len(rows) > MAX_ROWS_PER_MESSAGE or len(joined) > MAX_JOINED_PER_MESSAGE:
         yield Rollouts(rows[:MAX_ROWS_PER_MESSAGE], joined[:MAX_JOINED_PER_MESSAGE])
         rows, joined = rows[MAX_ROWS_PER_MESSAGE:], joined[MAX_JOINED_PER_MESSAGE:]
-    yield Rollouts(rows, joined, news.revision)
+    yield Rollouts(rows, joined, report.revision)
 
 
 async def run_distributor(
@@ -208,9 +214,10 @@
     on_ready: Callable[[], None],
     on_start: Callable[[Distributor], None] = lambda _distributor: None,
 ) -> int:
-    """Run until `ended` has a result, the exit code. KeyFileError and OSError at the start.
+    """Run a distributor until `ended` has a result, and return that result, the exit code.
 
-    `on_start` is given the distributor once it listens, `on_ready` is called once it serves.
+    `on_start` receives the distributor once it listens, `on_ready` is called once it serves.
+    Raises KeyFileError or OSError if the distributor can't start.
     """
 
     def log(text: str) -> None:
@@ -253,7 +260,8 @@
 
 
 def write_counters(path: Path, distributor: Distributor) -> None:
-    """One line of JSON in place of the one before; whoever reads finds a whole one."""
+    """Replace the counters file atomically with one line of JSON, so that a reader never finds a
+    partial file."""
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     temporary.write_text(json.dumps(asdict(distributor.counters())) + "\n")
     temporary.replace(path)
@@ -266,19 +274,26 @@
 
 
 def _stop_on_failure(task: asyncio.Task[None], ended: asyncio.Future[int]) -> None:
-    """A fault in what is repeated ends the process, where it is started again and seen."""
+    """End the process when a periodic task fails; its supervisor logs that and restarts it."""
     if not task.cancelled() and task.exception() is not None and not ended.done():
-        ended.set_exception(task.exception() or RuntimeError("a task ended"))
+        ended.set_exception(
+            task.exception() or RuntimeError("a periodic task of the distributor ended")
+        )
 
 
 def parse_arguments(argv: list[str] | None = None) -> DistributorSettings:
+    """Parse the command line; exits with a usage error if an address is invalid."""
     parser = argparse.ArgumentParser(prog="python -m tansywood.distribution.distributor")
     parser.add_argument("name")
     parser.add_argument("listen", help="IPv4:port")
-    parser.add_argument("fleet", help="name of the fleet, part of every seal")
+    parser.add_argument(
+        "fleet", help="name of the fleet, authenticated by the seal of every message"
+    )
     parser.add_argument("key_file", type=Path)
     parser.add_argument("--publisher", action="append", required=True, help="IPv4:port")
-    parser.add_argument("--counters", type=Path, help="written once a second")
+    parser.add_argument(
+        "--counters", type=Path, help="file that receives the counters once a second"
+    )
     options = parser.parse_args(argv)
     try:
         listen = parse_address(options.listen)
@@ -304,8 +319,8 @@
         if not ended.done():
             ended.set_result(0)
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, end)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, end)
     try:
         return await run_distributor(settings, ended, lambda: None)
     except (KeyFileError, OSError) as err:
@@ -314,6 +329,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the distributor process and return its exit code."""
     return uvloop.run(_main(parse_arguments(argv)))
 
 
--- a/tansywood/distribution/interest.py
+++ b/tansywood/distribution/interest.py
@@ -1,10 +1,15 @@
-"""What an instance subscribes to: which lookups to open, who waits for them, what to give up. Pure.
+"""Decides what an instance subscribes to: which lookups to open and which tenants to evict.
 
-The door asks whose some aliases are. What is held or lately known to be nobody's is answered at
-once; for the rest one lookup is open for each alias, however many ask. Everything is bounded: open
-lookups and their rate, remembered unknown aliases, and tenants held. A tenant is given up when it
-was idle for long or, over the bound, when it was used least recently; one that is in use stays, and
-while all are in use nothing new is looked up.
+A follower (such as the door, which accepts the callers' connections) asks which tenants own some
+aliases. An alias of a held tenant, or one that a recent lookup found to belong to no tenant, is
+answered at once. For every other alias one lookup is open, however many requests wait for it.
+
+Everything is bounded: the open lookups, their rate, the remembered unknown aliases and the held
+tenants. A tenant is evicted after the idle timeout or, while more tenants are held than the bound
+allows, when it is the least recently used. A tenant in use is never evicted; while all held tenants
+are in use and the bound is reached, no new lookup is opened.
+
+This module does no I/O and reads no clock. All times are nanoseconds of the caller's clock.
 """
 
 from __future__ import annotations
@@ -17,14 +22,16 @@
 from tansywood.distribution.parameters import SECOND, Parameters
 from tansywood.tenancy.limits import Bucket
 
-IN_USE_NS = 3 * SECOND  # what was used within this time is not given up; use is told every second
-MAX_EVICTIONS = 16  # tenants that are being given up at a time
+# A tenant used within this time is not evicted. Followers report use once a second.
+IN_USE_NS = 3 * SECOND
+MAX_EVICTIONS = 16  # evictions under way at a time
 
-Requester = tuple[str, int]  # a follower's name and the number of its question
+Requester = tuple[str, int]  # the name of a follower and the number of its request
 
 
 class State(Enum):
-    """The answer to whoever asks: every alias is held or nobody's, or that can't be said now."""
+    """The answer to a request: DONE when the owner of every alias is held, or known not to exist;
+    UNAVAILABLE when that can't be determined now."""
 
     DONE = "done"
     UNAVAILABLE = "unavailable"
@@ -32,8 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Resolution:
-    """What to do about a question. `state` is None while it waits for lookups; `look_up` are the
-    aliases of the lookup to open now; `keep` are tenants whose giving up has to be stopped."""
+    """What the caller of `Interest.resolve` has to do about a request.
+
+    `state` is None while the request waits for lookups. `aliases_to_look_up` are the aliases of the
+    lookup to open now. `evictions_to_cancel` are the requested tenants that are being evicted.
+    """
 
     state: State | None
     aliases_to_look_up: tuple[str, ...] = ()
@@ -54,29 +64,32 @@
 
 
 class Interest:
-    """Tenants held, questions open, aliases known to be nobody's. `counts` only grow."""
+    """Held tenants, pending requests, open lookups and aliases known to have no owner.
+
+    The values of `counts` only grow.
+    """
 
     def __init__(
         self, parameters: Parameters, now: int, max_tenants: int, idle_timeout: int
     ) -> None:
-        """`bound` is how many tenants are held, `idle` how long one is held without use."""
+        """Hold at most `max_tenants`, each for `idle_timeout` (ns) without use."""
         self.max_tenants = max_tenants
         self.idle_timeout = idle_timeout
         self.open_lookups = 0
         self.counts: Counter[str] = Counter()
         self._parameters = parameters
         self._in_use_period = min(IN_USE_NS, idle_timeout)
-        self._tenants: OrderedDict[str, _HeldTenant] = (
-            OrderedDict()
-        )  # the least recently used first
+        # The least recently used tenant comes first.
+        self._tenants: OrderedDict[str, _HeldTenant] = OrderedDict()
         self._owner_by_alias: dict[str, str] = {}
         self._evicting: set[str] = set()
-        self._unknown_until: OrderedDict[str, int] = OrderedDict()  # until when
-        self._requesters_by_alias: dict[
-            str, list[Requester]
-        ] = {}  # who waits for each alias that is looked up
+        # For each alias without an owner: when that stops being assumed.
+        self._unknown_until: OrderedDict[str, int] = OrderedDict()
+        # The requests that wait for each alias with an open lookup.
+        self._requesters_by_alias: dict[str, list[Requester]] = {}
         self._pending_requests: dict[Requester, _PendingRequest] = {}
-        # Half of a second's worth at once: the source's own bucket then takes all of them.
+        # The burst is half of the lookups of one second, so that the source's own token bucket
+        # accepts all of them.
         self._bucket = Bucket(now, parameters.lookups_per_s, parameters.lookups_per_s / 2)
         self._bucket.fill()
 
@@ -89,27 +102,30 @@
         return uid in self._tenants
 
     def owner(self, alias: str) -> str | None:
-        """The held tenant whose alias this is."""
+        """Return the uid of the held tenant that owns the alias, None if there is none."""
         return self._owner_by_alias.get(alias)
 
     def is_unassigned(self, alias: str) -> bool:
-        """Whether the last answer was so, and no held tenant has it since."""
+        """Whether the last lookup of the alias found no owner, and no held tenant owns it now."""
         return alias in self._unknown_until and alias not in self._owner_by_alias
 
     @property
     def cached_unknown_count(self) -> int:
+        """How many aliases are remembered as having no owner."""
         return len(self._unknown_until)
 
     @property
     def waiting_requests(self) -> int:
-        """Questions that have no answer yet."""
+        """How many requests have no answer yet."""
         return len(self._pending_requests)
 
     # ---- tenants ---------------------------------------------------------------------------
 
     def hold(self, uid: str, aliases: Iterable[str], now: int, pinned: bool = False) -> None:
-        """A tenant is held, or has other aliases than before. One without any is held and can't
-        be served: its view could not be read."""
+        """Hold a tenant, or replace the aliases of a held one.
+
+        A tenant without aliases is held but can't be served, because its view could not be read.
+        """
         previous = self._tenants.get(uid)
         self._unbind_aliases(uid)
         held = _HeldTenant(
@@ -121,25 +137,28 @@
             self._unknown_until.pop(alias, None)
 
     def drop(self, uid: str) -> None:
-        """A tenant was deleted, or is not held any more."""
+        """Forget a tenant that was deleted or is not held any more."""
         self._unbind_aliases(uid)
         self._tenants.pop(uid, None)
         self._evicting.discard(uid)
 
     def mark_used(self, uids: Iterable[str], now: int) -> None:
-        """These have connections, or had requests."""
+        """Record that these tenants have open connections or had requests."""
         for uid in uids:
             held = self._tenants.get(uid)
             if held is not None:
                 held.last_used_at = now
                 self._tenants.move_to_end(uid)
 
-    # ---- questions -------------------------------------------------------------------------
+    # ---- requests --------------------------------------------------------------------------
 
     def resolve(
         self, requester: Requester, aliases: Sequence[str], now: int, urgent: bool = False
     ) -> Resolution:
-        """Whose are these? `urgent` is not bound by the limits on lookups."""
+        """Start a request for the owners of these aliases.
+
+        An `urgent` request is not subject to the limits on lookups.
+        """
         self.counts["asked"] += not urgent
         owners = {uid for alias in aliases if (uid := self._owner_by_alias.get(alias)) is not None}
         self.mark_used(owners, now)
@@ -160,8 +179,11 @@
     def complete_lookup(
         self, aliases: Sequence[str], uids: Sequence[str] | None, now: int
     ) -> list[tuple[Requester, State]]:
-        """A lookup has ended; `uids` is None where nobody could say. What was found is held by
-        now. Returns who is to be told what."""
+        """End a lookup and return the requests that it answers, with their answers.
+
+        `uids` holds the owner of each alias, empty for an alias without an owner. It is None when
+        the lookup timed out. The caller holds the tenants that were found before this call.
+        """
         self.open_lookups -= 1
         self.counts["timed out" if uids is None else "answered"] += 1
         results: list[tuple[Requester, State]] = []
@@ -174,7 +196,7 @@
         return results
 
     def forget_requests(self, name: str) -> None:
-        """A follower is gone, and with it its questions."""
+        """Drop the pending requests of a follower that has disconnected."""
         for requester in [
             requester for requester in self._pending_requests if requester[0] == name
         ]:
@@ -182,10 +204,13 @@
             for alias in request.remaining:
                 self._requesters_by_alias[alias].remove(requester)
 
-    # ---- giving up -------------------------------------------------------------------------
+    # ---- eviction --------------------------------------------------------------------------
 
     def select_evictions(self, now: int) -> list[str]:
-        """Tenants to be given up now; each ends in `given_up` or `kept`."""
+        """Start evictions and return their tenants.
+
+        The caller ends each eviction with `finish_eviction` or `cancel_eviction`.
+        """
         evictions: list[str] = []
         excess = len(self._tenants) - len(self._evicting) - self.max_tenants
         for uid, held in self._tenants.items():
@@ -196,7 +221,7 @@
                 or room <= 0
                 or (idle_for < self.idle_timeout and excess <= 0)
             ):
-                break  # all that follow were used later
+                break  # the tenants that follow were used more recently
             if not held.pinned and uid not in self._evicting:
                 evictions.append(uid)
                 excess -= 1
@@ -204,23 +229,24 @@
         return evictions
 
     def finish_eviction(self, uid: str) -> None:
+        """Drop a tenant that no follower on this node holds any more."""
         if uid in self._tenants:
             self.counts["given up"] += 1
         self.drop(uid)
 
     def cancel_eviction(self, uid: str, now: int) -> None:
-        """It was in use after all."""
+        """Keep a tenant that was used while it was being evicted."""
         if uid in self._evicting:
             self.counts["kept"] += 1
             self._evicting.discard(uid)
         self.mark_used([uid], now)
 
-    # ---- the parts -------------------------------------------------------------------------
+    # ---- helpers ---------------------------------------------------------------------------
 
     def _unbind_aliases(self, uid: str) -> None:
         held = self._tenants.get(uid)
         for alias in held.aliases if held is not None else ():
-            if self._owner_by_alias.get(alias) == uid:  # it may be another's by now
+            if self._owner_by_alias.get(alias) == uid:  # another tenant may own it by now
                 del self._owner_by_alias[alias]
 
     def _is_known(self, alias: str, now: int) -> bool:
@@ -238,7 +264,8 @@
         return self._bucket.take(now) == 0
 
     def _has_room(self, now: int) -> bool:
-        """Whether all that may be found can be held, giving up what is not in use."""
+        """Whether every tenant that open lookups may find can be held, after evicting tenants that
+        are not in use."""
         excess = len(self._tenants) + self.open_lookups + 1 - self.max_tenants
         for held in self._tenants.values():
             if excess <= 0 or now - held.last_used_at < self._in_use_period:
--- a/tansywood/distribution/replica.py
+++ b/tansywood/distribution/replica.py
@@ -1,8 +1,9 @@
-"""State at a position of a history: resources by uid, whose aliases they have, recent changes.
+"""Resources as of a position in a history: contents by uid, owners of aliases, recent changes.
 
-The publisher holds one (filled from its registry), a distributor one of everything, an instance one
-of what it subscribes to. No I/O and no clock. Rules that live here: an older state of a resource is
-never taken for a newer one, and which changes a reconnect at some position has missed.
+The publisher fills its replica from its registry, a distributor's replica holds every resource, and
+an instance's replica holds the resources that it subscribes to. This module does no I/O and reads
+no clock. It enforces that an older state never replaces a newer one, and it tells which changes a
+subscriber missed that reconnects at a given position.
 """
 
 from __future__ import annotations
@@ -20,13 +21,15 @@
     digest_of,
 )
 
-MAX_ABSENT_REVISIONS = 50_000  # revisions of what is not held any more
-UNKNOWN_REVISION = -1  # the revision of what was taken in another history: anything is newer
+# How many resources that are not held any more keep their last known revision in memory.
+MAX_ABSENT_REVISIONS = 50_000
+# The revision of a resource received in another history. Every revision is newer than this one.
+UNKNOWN_REVISION = -1
 
 
 @dataclass(slots=True)
 class Entry:
-    """One resource that is held."""
+    """A held resource."""
 
     revision: int
     digest: bytes
@@ -35,33 +38,34 @@
 
 
 class Replica:
-    """Resources at `epoch`, all of them as of `revision` or later.
+    """Resources in `epoch`, each in its state of `revision` or a later one.
 
-    `parent` is where this epoch began: whoever stood at or before it has the same history.
+    `parent` is the position at which this epoch began. A subscriber at or before `parent` shares
+    the history of this epoch.
+
+    `newest_revision` is the newest revision received in this history. At `consistent_revision`
+    every held resource was held in its state of that revision or a later one.
     """
 
     def __init__(
         self, max_recent_changes: int, epoch: Epoch | None = None, revision: int = 0
     ) -> None:
-        """`window` is how many recent changes are remembered."""
+        """Remember `max_recent_changes` changes for subscribers that resume."""
         self.epoch = epoch or Epoch()
         self.revision = revision
-        self.newest_revision = revision  # of all that was taken in this history
-        self.consistent_revision = (
-            revision  # here all was held in its state of this revision, or a later one
-        )
+        self.newest_revision = revision
+        self.consistent_revision = revision
         self.parent = Position()
         self.entries: dict[str, Entry] = {}
         self.aliases: dict[str, str] = {}
         self._recent_changes: deque[tuple[int, str]] = deque()
         self._max_recent_changes = max_recent_changes
-        self._resumable_from = revision  # the window knows of all changes behind this revision
-        self._absent_revisions: OrderedDict[str, int] = (
-            OrderedDict()
-        )  # the last revision known of each
-        self._absent_in_earlier_epochs: OrderedDict[str, None] = (
-            OrderedDict()
-        )  # the same of earlier histories
+        # `_recent_changes` contains every change after this revision.
+        self._resumable_from = revision
+        # The last known revision of each resource that is not held.
+        self._absent_revisions: OrderedDict[str, int] = OrderedDict()
+        # The uids of resources that were not held in earlier histories.
+        self._absent_in_earlier_epochs: OrderedDict[str, None] = OrderedDict()
 
     @property
     def position(self) -> Position:
@@ -70,8 +74,12 @@
     # ---- reading ---------------------------------------------------------------------------
 
     def resource(self, uid: str, with_aliases: bool = False) -> Resource:
-        """What a subscriber is told of it. What was never known was removed before we were whole:
-        it may have been created since, and have changed again so that it still waits for us."""
+        """Return the state of a resource for a subscriber.
+
+        A resource that this replica never knew counts as removed at `consistent_revision` and not
+        at `revision`: it may have been created since, and its newest state may still be queued at
+        the source of this replica.
+        """
         entry = self.entries.get(uid)
         if entry is None:
             return Resource(
@@ -81,24 +89,28 @@
         return Resource(uid, entry.revision, Kind.CONTENT, entry.body, aliases)
 
     def versions(self) -> Iterator[Version]:
-        """What is held, for a source to compare."""
+        """Yield the digest of each held resource, for a source to compare with its own."""
         for uid, entry in self.entries.items():
             yield Version(uid, entry.digest)
 
     def owner(self, alias: str) -> str:
-        """The uid whose alias this is; empty where it is nobody's."""
+        """Return the uid of the resource that owns the alias, empty if there is none."""
         return self.aliases.get(alias, "")
 
     def may_have_held_newer(self, uid: str, revision: int) -> bool:
-        """Whether a source at this revision may know an older state than what was held, and given
-        up, before this history: it has not come up to where the history began."""
+        """Whether this replica may have held, in an earlier history, a newer state of the resource
+        than a source at this revision knows.
+
+        That is so for a resource released before this history began, while the source has not
+        reached the revision at which it began.
+        """
         return uid in self._absent_in_earlier_epochs and revision < self.parent.revision
 
     def covers(self, position: Position, newest: int = 0) -> bool:
-        """Whether `changes_behind` can tell all that was missed since a position by one who
-        holds nothing newer than `newest`.
+        """Whether `changes_after` returns every change that a subscriber at this position missed,
+        if the subscriber holds nothing newer than `newest`.
 
-        Revision 0 is that of a subscriber that knows nothing, or not of what it still holds.
+        A subscriber at revision 0 knows nothing, or can't tell which of its resources are current.
         """
         if position.revision < max(self._resumable_from, 1):
             return False
@@ -108,8 +120,8 @@
         return position.epoch == self.parent.epoch and newest_known <= self.parent.revision
 
     def changes_after(self, revision: int) -> list[tuple[int, str]]:
-        """Each resource that has changed behind a covered revision, once, in the order of its
-        last change."""
+        """Return each resource that changed after a covered revision once, with the revision of its
+        last change, in the order of these revisions."""
         latest: dict[str, int] = {}
         for changed_revision, uid in reversed(self._recent_changes):
             if changed_revision <= revision:
@@ -120,14 +132,14 @@
     # ---- changing --------------------------------------------------------------------------
 
     def begin_epoch(self, epoch: Epoch, parent: Position) -> None:
-        """Go on in another epoch whose history begins with ours."""
+        """Continue in another epoch whose history contains the history of this replica."""
         self.epoch = epoch
         self.parent = parent
 
     def switch_history(self, epoch: Epoch, parent: Position) -> None:
-        """Go over to an epoch of another history: revisions of the old one say nothing in it.
+        """Switch to an epoch of another history, in which the old revisions mean nothing.
 
-        What is held stays until a comparison has told which of it still holds.
+        The held resources stay until a comparison with a source tells which are still current.
         """
         self.epoch = epoch
         self.parent = parent
@@ -141,18 +153,22 @@
             entry.revision = UNKNOWN_REVISION
 
     def reset_position(self) -> None:
-        """Changes were missed that nobody can tell any more: only a comparison helps, and who
-        follows us can't resume behind what we know until it is over."""
+        """Discard the position after changes were missed that no source remembers.
+
+        Only a comparison with a source restores the position. Until it ends, subscribers of this
+        replica can't resume.
+        """
         self.revision = 0
         self.consistent_revision = 0
         self._resumable_from = 0
         self._recent_changes.clear()
 
     def apply(self, resource: Resource) -> bool:
-        """Take a state of this epoch; False where ours is as new, so that nothing changes.
+        """Apply a state of this epoch. Return False if the known state is as new, so that nothing
+        changes.
 
-        That something is removed which we never held is news as well: a subscriber of ours
-        may have got it from another source.
+        The removal of a resource that was never held here counts as a change as well: a subscriber
+        of this replica may have received the resource from another source.
         """
         entry = self.entries.get(resource.uid)
         known = (
@@ -164,9 +180,8 @@
             if entry is not None and resource.revision >= entry.revision:
                 entry.revision = resource.revision
                 self.newest_revision = max(self.newest_revision, entry.revision)
-                self._bind_aliases(
-                    resource.uid, entry
-                )  # another may have had them in the old history
+                # Another resource may have had these aliases in the old history.
+                self._bind_aliases(resource.uid, entry)
             return False
         if resource.revision <= known:
             return False
@@ -177,8 +192,11 @@
         return True
 
     def record_change(self, revision: int, uid: str) -> None:
-        """Remember a change, for those who resume behind it. Revisions only grow: where one
-        does not, nobody may resume behind what came before it."""
+        """Remember a change for subscribers that resume from an earlier revision.
+
+        Revisions only grow. After a revision that is lower than the one before it, no subscriber
+        may resume from the changes recorded so far.
+        """
         if self._recent_changes and revision < self._recent_changes[-1][0]:
             self._resumable_from = max(self._resumable_from, self._recent_changes[-1][0])
             self._recent_changes.clear()
@@ -189,36 +207,36 @@
             self._resumable_from = max(self._resumable_from, forgotten)
 
     def commit(self, resource: Resource) -> None:
-        """A change of the publisher's own: take it, remember it, and stand there."""
+        """Apply and record a change made by the publisher, and advance to its revision."""
         self.apply(resource)
         self.record_change(resource.revision, resource.uid)
         self.advance(resource.revision, consistent=True)
 
     def set_resumable_from(self, revision: int) -> None:
-        """Say from where on all changes have been recorded."""
+        """Set the revision after which every change has been recorded."""
         self._resumable_from = revision
 
     def advance(self, revision: int, consistent: bool = False) -> None:
-        """All that is held now holds up to there, but for what has changed behind it as well;
-        with `whole` for that too."""
+        """Advance the position to a revision at which the held resources are current, except for
+        resources that changed again later. If `consistent`, these are current as well."""
         if consistent:
             self.consistent_revision = max(self.consistent_revision, revision)
         self.revision = max(self.revision, revision)
         self.newest_revision = max(self.newest_revision, revision)
 
     def step_back(self, revision: int) -> None:
-        """Something was taken that holds only up to there: resume from there."""
+        """Lower the position to that of a received state, so that the next resume starts there."""
         self.revision = min(self.revision, revision)
 
     def release(self, uid: str) -> None:
-        """Hold a resource no longer; how new it was stays known, so that an older state of it
-        is not taken when it is asked for again."""
+        """Stop holding a resource and remember its revision, so that an older state is rejected
+        when the resource is subscribed to again."""
         entry = self.entries.get(uid)
         if entry is not None:
-            self._remove(uid, entry.revision - 1)  # the same state again is as good
+            self._remove(uid, entry.revision - 1)  # the same state may be applied again
 
     def load(self, resources: Iterable[Resource]) -> None:
-        """Fill an empty replica, in any order."""
+        """Fill an empty replica with resources in any order."""
         for resource in resources:
             self._store(resource)
 
@@ -251,5 +269,5 @@
 
     def _unbind_aliases(self, uid: str, entry: Entry) -> None:
         for alias in entry.aliases:
-            if self.aliases.get(alias) == uid:  # it may be another's by now
+            if self.aliases.get(alias) == uid:  # another resource may own it by now
                 del self.aliases[alias]
--- a/tansywood/distribution/resources.py
+++ b/tansywood/distribution/resources.py
@@ -1,7 +1,8 @@
-"""A tenant's view as a resource: how it is encoded, and by which aliases it is asked for.
+"""Encodes the view of a tenant as a resource and lists the aliases by which it is looked up.
 
-A view is what the traffic side is told of a tenant (`tenancy.registry.Registry.view`): uid, status,
-version, document, since, keys. Publisher and instances read it; distributors carry it unread.
+A view is what the nodes need to know about a tenant (`tenancy.registry.Registry.view`): uid,
+status, version, document, since and keys. The publisher and the instances read views; distributors
+pass them on without decoding.
 """
 
 from __future__ import annotations
@@ -26,12 +27,14 @@
 
 
 class ViewError(ValueError):
-    """A body that can't be put into force; the text says where and why."""
+    """A view that can't be sent or applied. The text names the tenant and the reason."""
 
 
 def encode(uid: str, revision: int, view: View | None) -> Resource:
-    """The resource that says this view; removed where there is none.
-    Raises ViewError where it is larger than MAX_BODY_BYTES."""
+    """Return the resource that contains this view, or a removal if `view` is None.
+
+    Raises ViewError if the encoded view is longer than MAX_BODY_BYTES.
+    """
     if view is None:
         return Resource(uid, revision, Kind.REMOVED)
     body = msgspec.json.encode(view)
@@ -41,7 +44,10 @@
 
 
 def decode(uid: str, body: bytes) -> dict[str, Any]:
-    """The view of a resource, with a document that can be read. ViewError says what is wrong."""
+    """Decode and check the view in the body of a resource, including the tenant's document.
+
+    Raises ViewError if the body is not a valid view of the tenant `uid`.
+    """
     try:
         view = msgspec.json.decode(body, type=dict[str, Any])
         if view["uid"] != uid:
@@ -57,7 +63,8 @@
 
 
 def aliases_of(view: View) -> Iterator[str]:
-    """All that a request may name a tenant by: hosts, name, key ids, listeners."""
+    """Yield every alias that a request can address the tenant by: its name, hosts, listeners and
+    key ids."""
     document = view["document"]
     callers = document.get("callers", {})
     yield alias_of_name(document["name"])
--- a/tansywood/distribution/rollout.py
+++ b/tansywood/distribution/rollout.py
@@ -1,7 +1,7 @@
-"""How far each change has come over all instances: the publisher's sums of what distributors tell.
+"""Tracks for the publisher how many instances of the fleet have applied each change.
 
-Pure. A distributor counts its own instances; the publisher adds the counts up, and knows which
-distributors have not been heard of or lack the change themselves.
+Every distributor counts its own instances and reports the counts. The publisher adds them up and
+knows which distributors have not reported yet. This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -12,13 +12,16 @@
 
 from tansywood.distribution.messages import Rollout
 
-MAX_TRACKED_CHANGES = 512  # changes whose sums are kept
-MAX_NAMED_INSTANCES = 20  # instances named of one change
+MAX_TRACKED_CHANGES = 512  # changes per distributor whose counts are kept
+MAX_NAMED_INSTANCES = 20  # instances that the summary of one change names
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutSummary:
-    """One change over all distributors. `complete` where nobody is known to lack it."""
+    """The progress of one change over all distributors.
+
+    The change is `complete` when no instance and no distributor is known to lack it.
+    """
 
     uid: str
     revision: int
@@ -37,36 +40,50 @@
 
 @dataclass(slots=True)
 class _Distributor:
-    connections: int = 0  # a new one may be there before the end of the old one is known
-    sent_instances_elsewhere: bool = False  # which instances are at others
-    reported_revision: int = 0  # the revision up to which it has told its sums
-    rows: OrderedDict[str, Rollout] = field(default_factory=OrderedDict)  # of each uid's last
+    # A new connection may open before the end of the previous one is noticed.
+    connections: int = 0
+    # Whether the distributor was told which instances are connected to other distributors.
+    sent_instances_elsewhere: bool = False
+    # The revision up to which the distributor has reported its counts.
+    reported_revision: int = 0
+    # The counts of the latest change of each tenant, by uid.
+    rows: OrderedDict[str, Rollout] = field(default_factory=OrderedDict)
 
 
 class RolloutTracker:
-    """Sums by change; the latest of each tenant is what counts."""
+    """Adds up the distributors' counts of the latest change of each tenant."""
 
     def __init__(self) -> None:
         self._distributors: dict[str, _Distributor] = {}
-        self._distributor_by_instance: dict[
-            str, str
-        ] = {}  # which distributor an instance came to last
+        # The distributor that each instance connected to last.
+        self._distributor_by_instance: dict[str, str] = {}
 
     def connected(self, distributor: str) -> None:
-        """Its sums are told anew: it may have been started again, and lack what it had."""
+        """Record a connection of a distributor.
+
+        The distributor has to report its counts again, because it may have restarted and lost the
+        changes that it had.
+        """
         known = self._distributors.setdefault(distributor, _Distributor())
         known.connections += 1
         known.reported_revision = 0
         known.sent_instances_elsewhere = False
 
     def disconnected(self, distributor: str) -> None:
-        """Its last words stay: its instances may lack what comes now, until they are heard of."""
+        """Record the end of a connection of a distributor.
+
+        The distributor stays known: its instances may lack later changes until another distributor
+        reports them.
+        """
         known = self._distributors.get(distributor)
         if known is not None:
             known.connections = max(known.connections - 1, 0)
 
     def report(self, distributor: str, rows: Iterable[Rollout], revision: int = 0) -> None:
-        """Sums of a distributor; `revision` where all up to there have been told by now."""
+        """Record counts of a distributor.
+
+        A `revision` other than 0 says that the counts of all changes up to it have been reported.
+        """
         known = self._distributors.setdefault(distributor, _Distributor())
         for row in rows:
             known.rows[row.uid] = row
@@ -76,9 +93,11 @@
         known.reported_revision = revision or known.reported_revision
 
     def instances_joined(self, distributor: str, names: Iterable[str]) -> dict[str, list[str]]:
-        """Instances have come to a distributor; returns whom to tell that they left there.
+        """Record that instances connected to a distributor.
 
-        Where an instance was before may not be known, as after a start: then all others are told.
+        Return, by distributor, the instances that it has to be told are connected elsewhere. When
+        the previous distributor of an instance is not known, as after a restart of the publisher,
+        all other distributors are told.
         """
         departures: dict[str, list[str]] = {}
         others = [other for other in self._distributors if other != distributor]
@@ -101,10 +120,14 @@
         return departures
 
     def summary(self, uid: str, revision: int) -> RolloutSummary:
-        """Of one change. A distributor counts as waiting until it has told its sums of it: that
-        it has the change itself says nothing of its instances. One that has gone counts as
-        waiting while it was the last that some instance came to. Where the tenant has changed again
-        since, the sums are those of its later change: who lacks that may lack this one as well."""
+        """Return the progress of one change.
+
+        A distributor counts as waiting until it has reported its counts of the change, because
+        receiving the change itself says nothing about its instances. A disconnected distributor
+        counts as waiting while it is the last one that some instance connected to. If the tenant
+        has changed again since, the counts are those of the later change: an instance that lacks
+        the later change may lack this one as well.
+        """
         have = waiting = refused = reported_count = 0
         lagging: list[str] = []
         refusing: list[tuple[str, str]] = []
--- a/tansywood/distribution/settings.py
+++ b/tansywood/distribution/settings.py
@@ -1,4 +1,4 @@
-"""The `[distribution]` section of the operator's file: shape, checks, values."""
+"""The `[distribution]` section of the operator's settings file: its schema, checks and values."""
 
 from __future__ import annotations
 
@@ -12,17 +12,20 @@
 from tansywood.tenancy.fault import Fault
 from tansywood.tenancy.schema import ADDRESS, NAME, whole
 
-DEFAULT_MAX_TENANTS = 500  # that an instance holds at most, where its settings don't say
-DEFAULT_IDLE_S = 600  # after which a tenant that nobody asks for is given up
+# How many tenants an instance holds at most, unless its settings say otherwise.
+DEFAULT_MAX_TENANTS = 500
+# After how many seconds without requests an instance evicts a tenant, unless its settings say
+# otherwise.
+DEFAULT_IDLE_S = 600
 MAX_SOURCES = 64
 
 
 class Role(Enum):
-    """What a machine is to the distribution of configuration."""
+    """The role of a machine in the distribution of configuration."""
 
-    PUBLISHER = "publisher"  # has the administration API and its store
-    DISTRIBUTOR = "distributor"  # holds all of it for others
-    NODE = "node"  # serves callers by it
+    PUBLISHER = "publisher"  # runs the administration API and its store
+    DISTRIBUTOR = "distributor"  # holds the whole configuration and serves it to nodes
+    NODE = "node"  # serves callers according to the configuration
 
 
 _ADDRESSES: dict[str, Any] = {
@@ -52,7 +55,7 @@
     },
 }
 
-# What each role's section has to have, and may have, beside what all have.
+# The keys that the section must or may contain for each role, in addition to the common keys.
 _REQUIRED_KEYS: dict[Role, tuple[str, ...]] = {
     Role.PUBLISHER: ("listen",),
     Role.DISTRIBUTOR: ("listen", "publisher"),
@@ -68,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DistributionSettings:
-    """One machine's part in the distribution; addresses are IPv4:port."""
+    """The settings of one machine for the distribution. Addresses have the form IPv4:port."""
 
     role: Role
     fleet: str
@@ -82,7 +85,10 @@
 
 
 def read(raw: Mapping[str, Any], folder: Path) -> DistributionSettings:
-    """Of a section that its schema and `faults` found nothing wrong with."""
+    """Build the settings from a section that has passed the schema and `faults`.
+
+    A relative path of the key file is resolved against `folder`.
+    """
     return DistributionSettings(
         Role(raw["role"]),
         raw["fleet"],
@@ -97,14 +103,14 @@
 
 
 def role_of(raw: Mapping[str, Any]) -> Role | None:
-    """The role that a file's words give, None where they give none, or one that is not known."""
+    """Return the role that a settings file names, None if it names none or an unknown one."""
     section = raw.get("distribution")
     value = section.get("role") if isinstance(section, dict) else None
     return Role(value) if value in [role.value for role in Role] else None
 
 
 def faults(raw: Mapping[str, Any]) -> list[Fault]:
-    """What the schema of the section can't say: which keys belong to which role."""
+    """Return the faults that the schema can't express: keys that the role lacks or doesn't use."""
     role = role_of({"distribution": raw})
     if role is None:
         return []
