--- a/tansywood/distribution/distributor.py
+++ b/tansywood/distribution/distributor.py
@@ -65,7 +65,7 @@
 class Counters:
     """What a distributor has done since its start, and its current state.
 
-    The publisher is upstream; everything else counts sessions of instances.
+    The fields with `upstream` in their names describe the connection to the publisher.
     """
 
     name: str
@@ -168,7 +168,7 @@
     def _handle_action(self, action: Action) -> None:
         now = time.monotonic_ns()
         if isinstance(action, Apply):
-            if self.source.serving:  # no instance is connected before that
+            if self.source.serving:  # before that no instance is served
                 for uid in action.uids:
                     self.source.changed(uid, self.replica.resource(uid).revision, now)
             self.client.applied(action.batch)
@@ -286,9 +286,7 @@
     parser = argparse.ArgumentParser(prog="python -m tansywood.distribution.distributor")
     parser.add_argument("name")
     parser.add_argument("listen", help="IPv4:port")
-    parser.add_argument(
-        "fleet", help="name of the fleet, authenticated by the seal of every message"
-    )
+    parser.add_argument("fleet", help="name of the fleet, included in the seal of every message")
     parser.add_argument("key_file", type=Path)
     parser.add_argument("--publisher", action="append", required=True, help="IPv4:port")
     parser.add_argument(
--- a/tansywood/distribution/replica.py
+++ b/tansywood/distribution/replica.py
@@ -64,7 +64,7 @@
         self._resumable_from = revision
         # The last known revision of each resource that is not held.
         self._absent_revisions: OrderedDict[str, int] = OrderedDict()
-        # The uids of resources that were not held in earlier histories.
+        # The uids of resources that were removed or released in earlier histories.
         self._absent_in_earlier_epochs: OrderedDict[str, None] = OrderedDict()
 
     @property
@@ -132,7 +132,7 @@
     # ---- changing --------------------------------------------------------------------------
 
     def begin_epoch(self, epoch: Epoch, parent: Position) -> None:
-        """Continue in another epoch whose history contains the history of this replica."""
+        """Continue in another epoch whose history begins with the history of this replica."""
         self.epoch = epoch
         self.parent = parent
 
--- a/tests/distribution/model/distributor.py
+++ b/tests/distribution/model/distributor.py
@@ -1,4 +1,4 @@
-"""A distributor: subscriber of everything and source for instances, over one replica."""
+"""A simulated distributor: a subscriber of every resource and a source for instances."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     Link,
     Send,
 )
-from tests.distribution.model.network import Follower, Server, Wire
+from tests.distribution.model.network import Connection, Follower, Server
 from tests.distribution.model.parts import PUBLISHER
 
 if TYPE_CHECKING:
@@ -22,16 +22,16 @@
 
 
 class Distributor(Server, Follower):
-    """A subscriber of everything and a source over one replica."""
+    """A subscriber of every resource and a source for instances, over one replica."""
 
     def __init__(self, world: World, name: str) -> None:
         Server.__init__(self, world, name)
         Follower.__init__(self, world, name)
         self.isolated_until = 0
-        self.begin()
+        self.reset()
 
-    def begin(self) -> None:
-        """Start with nothing."""
+    def reset(self) -> None:
+        """Start, or restart, with an empty replica."""
         parts, now = self.world.parts, self.now
         self.replica = parts.replica(self.world.parameters.max_resumable_changes)
         self.source = parts.source(self.replica, self.world.parameters, now, is_publisher=False)
@@ -45,7 +45,7 @@
             now,
             everything=True,
         )
-        self.wires = {}
+        self.connections = {}
         self.dials = []
 
     def handle(self, action: Action) -> None:
@@ -62,19 +62,19 @@
             self.world.counts["histories changed"] += 1
             self.source.stop_serving()
 
-    def received(self, wire: Wire, message: Message) -> None:
-        """Both ends come here: one from below, one from above."""
-        if wire.server is self:
-            Server.received(self, wire, message)
+    def received(self, connection: Connection, message: Message) -> None:
+        """Pass a message of an instance to the source, one of the publisher to the subscriber."""
+        if connection.server is self:
+            Server.received(self, connection, message)
         else:
-            Follower.received(self, wire, message)
+            Follower.received(self, connection, message)
 
-    def overheard(self, *what: object) -> None:
-        message = what[-1]
-        if len(what) == 1:
-            self._heard_above(message)
+    def on_message(self, *arguments: object) -> None:
+        message = arguments[-1]
+        if len(arguments) == 1:
+            self._on_publisher_message(message)
 
-    def _heard_above(self, message: object) -> None:
+    def _on_publisher_message(self, message: object) -> None:
         self.source.note_publisher_heard(self.now)
         self.flush()
         if self.replica.revision and not self.source.serving:
--- a/tests/distribution/model/instance.py
+++ b/tests/distribution/model/instance.py
@@ -1,4 +1,4 @@
-"""An instance: what it asks, holds, puts into force and refuses; judged with each state."""
+"""A simulated instance, which checks every state that it receives against the property."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class Node(Follower):
-    """An instance: it asks, puts into force after a while, refuses some, gives up some."""
+    """An instance: looks up tenants, applies or refuses their states, and unsubscribes."""
 
     def __init__(self, world: World, name: str) -> None:
         super().__init__(world, name)
-        self.begin()
+        self.reset()
 
-    def begin(self) -> None:
-        """Start with nothing."""
+    def reset(self) -> None:
+        """Start, or restart, with an empty replica."""
         world = self.world
         self.replica = world.parts.replica(world.parameters.max_resumable_changes)
         self.subscriber = world.parts.subscriber(
@@ -35,11 +35,11 @@
         self.refused: dict[str, bytes] = {}
         self.applying: deque[tuple[int, Apply]] = deque()
         self.asked: OrderedDict[int, tuple[str, ...]] = OrderedDict()
-        self.wanted: set[str] = set()  # answered, and not given up since
-        self.uses = 0  # counts what was asked, answered and given up
-        self.open_until: dict[str, int] = {}  # of each alias: the use that answered it last
-        self.given_up: dict[str, int] = {}  # of each tenant: the use that gave it up last
-        self.places: dict[str, int] = {}
+        self.subscribed: set[str] = set()  # found by a lookup, and not unsubscribed since
+        self.use_count = 0  # counts answers and unsubscriptions
+        self.last_answering_use: dict[str, int] = {}  # by alias
+        self.last_unsubscribing_use: dict[str, int] = {}  # by uid
+        self.indexes: dict[str, int] = {}
         self.labels: dict[str, tuple[Epoch, int]] = {}
         self.dials = []
 
@@ -48,70 +48,72 @@
         self.asked[number] = tuple(aliases)
         self.flush()
 
-    def give_up(self, uids: Sequence[str]) -> None:
+    def unsubscribe(self, uids: Sequence[str]) -> None:
         for uid in uids:
             self.in_force.pop(uid, None)
             self.refused.pop(uid, None)
-        self.wanted -= set(uids)
-        self.uses += 1
-        self.given_up.update(dict.fromkeys(uids, self.uses))
+        self.subscribed -= set(uids)
+        self.use_count += 1
+        self.last_unsubscribing_use.update(dict.fromkeys(uids, self.use_count))
         self.subscriber.unsubscribe(uids, self.now)
         self.flush()
 
-    def may_want(self, uid: str) -> bool:
-        """Whether a question may have subscribed to it that was open after it was given up."""
-        given_up = self.given_up.get(uid, 0)
-        closed = (alias for alias, use in self.open_until.items() if use > given_up)
+    def may_subscribe_to(self, uid: str) -> bool:
+        """Whether a lookup that was open after the tenant was unsubscribed may have found it."""
+        unsubscribed_at = self.last_unsubscribing_use.get(uid, 0)
+        closed = (alias for alias, use in self.last_answering_use.items() if use > unsubscribed_at)
         asked = [alias for aliases in self.asked.values() for alias in aliases]
-        return uid in self.wanted or uid in self.world.owners_of([*closed, *asked])
+        return uid in self.subscribed or uid in self.world.owners_of([*closed, *asked])
 
     def handle(self, action: Action) -> None:
         if isinstance(action, Apply):
-            self._look_at(action.uids)
-            self.applying.append((self.world.now + self.world.apply_time(), action))
+            self._check_applied(action.uids)
+            self.applying.append((self.world.now + self.world.apply_duration(), action))
         elif isinstance(action, Answer):
-            self.uses += 1
-            self.open_until.update(dict.fromkeys(self.asked.pop(action.question), self.uses))
+            self.use_count += 1
+            self.last_answering_use.update(
+                dict.fromkeys(self.asked.pop(action.question), self.use_count)
+            )
             if action.uids is not None:
                 self.world.counts["answers"] += 1
-                self.wanted |= {uid for uid in action.uids if uid in self.replica.entries}
+                self.subscribed |= {uid for uid in action.uids if uid in self.replica.entries}
 
-    def _look_at(self, uids: Iterable[str]) -> None:
-        """The property: nothing goes back, nothing comes that was not asked for."""
+    def _check_applied(self, uids: Iterable[str]) -> None:
+        """Check the property: no state is older than the last, and none comes without a lookup."""
         for uid in uids:
             entry = self.replica.entries.get(uid)
             body = entry.body if entry is not None else None
-            if entry is not None and not self.may_want(uid):
-                self._wrong(f"was told {uid}, which it does not want")
-            place = self.world.oracle.next_place(uid, self.places.get(uid, 0), body)
-            if place is None:
-                self._wrong(f"{uid} went back to {body!r}")
+            if entry is not None and not self.may_subscribe_to(uid):
+                self._fail(f"received {uid}, which it does not subscribe to")
+            index = self.world.oracle.next_index(uid, self.indexes.get(uid, 0), body)
+            if index is None:
+                self._fail(f"{uid} went back to {body!r}")
             else:
-                self.places[uid] = place
+                self.indexes[uid] = index
             label = (self.replica.epoch, self.replica.resource(uid).revision)
             if label < self.labels.get(uid, label):
-                self._wrong(f"{uid} went back from {self.labels[uid]} to {label}")
+                self._fail(f"{uid} went back from {self.labels[uid]} to {label}")
             self.labels[uid] = label
 
-    def _wrong(self, what: str) -> None:
-        raise PropertyError(f"{self.world}: {self.name} {what}")
+    def _fail(self, problem: str) -> None:
+        raise PropertyError(f"{self.world}: {self.name} {problem}")
 
     def finish(self) -> None:
-        """Put into force what has taken its time by now."""
+        """Apply the states whose apply time is over."""
         while self.applying and self.applying[0][0] <= self.world.now:
             _, action = self.applying.popleft()
-            refusals = [r for uid in action.uids if (r := self._put(uid)) is not None]
+            refusals = [r for uid in action.uids if (r := self._apply_resource(uid)) is not None]
             self.subscriber.applied(action.batch, self.now, refusals)
             self.flush()
 
-    def _put(self, uid: str) -> Refusal | None:
+    def _apply_resource(self, uid: str) -> Refusal | None:
         entry = self.replica.entries.get(uid)
         self.refused.pop(uid, None)
         if entry is None:
             self.in_force.pop(uid, None)
-            self.wanted.discard(uid)
+            self.subscribed.discard(uid)
             return None
-        if self.world.is_bad(entry.body):
+        if self.world.is_refused(entry.body):
             self.refused[uid] = entry.body
             return Refusal(uid, entry.revision, "bad")
         self.in_force[uid] = entry.body
--- a/tests/distribution/model/parts.py
+++ b/tests/distribution/model/parts.py
@@ -1,4 +1,4 @@
-"""Terms and bounds of the model, and the cores that it drives."""
+"""Parameters and bounds of the model, and the production classes that it runs."""
 
 from __future__ import annotations
 
@@ -29,21 +29,22 @@
 STEP = 10 * MS
 FAULTY_STEPS = 160
 QUIET_STEPS = 110
-QUIET_STEPS_LATE = 300  # where clocks jump, or admission keeps somebody waiting
+QUIET_STEPS_LATE = 300  # if clocks jump or admission delays subscribers
 TENANTS = [f"t{n}" for n in range(8)]
-WANDERING = [alias_of_host(f"shared{n}.example") for n in range(2)]  # move between tenants
-COPIES_MOST = 6
+# Aliases that move between tenants.
+MOVING_ALIASES = [alias_of_host(f"shared{n}.example") for n in range(2)]
+MAX_COPIES = 6
 CLOCK_JUMPS = [jump * MS for jump in (-300, -120, -30, 30, 120, 300, 2_000)]
 PUBLISHER = "publisher"
 
 
 class PropertyError(AssertionError):
-    """The property does not hold; the text says who, when and what."""
+    """The property does not hold; the text names the process, the step and the violation."""
 
 
 @dataclass(frozen=True, slots=True)
 class Parts:
-    """The cores that are driven; tests take a defence out of one."""
+    """The classes that the model runs; tests replace one by a class without a safeguard."""
 
     replica: type[Replica] = Replica
     source: type[Source] = Source
@@ -52,10 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """What is drawn beside the faults that every history has, each from a sequence of its own:
-    a history without any of these stays what it was."""
+    """Optional faults, in addition to those of every history. Each is drawn from its own random
+    sequence, so that it does not change the other events of the same seed."""
 
-    slow_readers: bool = False  # changes to one resource again and again, for who reads slowly
-    clock_jumps: bool = False  # forwards and backwards, of any process
-    admission: bool = False  # few hellos a second
-    late_answers: bool = False  # of dials, so that others are made beside them
+    slow_readers: bool = False  # repeated changes while subscribers read slowly
+    clock_jumps: bool = False  # clocks of any process jump forwards or backwards
+    admission: bool = False  # sources admit only a few sessions per second
+    late_answers: bool = False  # dials are answered late, so that others run in parallel
--- a/tests/distribution/model/publisher.py
+++ b/tests/distribution/model/publisher.py
@@ -1,4 +1,4 @@
-"""The publisher: the source of everything, on a disk that may be lost or restored."""
+"""The simulated publisher, whose disk may be lost or replaced by an older copy."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Content:
-    """What the publisher has of one tenant."""
+    """The state of one tenant at the publisher."""
 
     revision: int
     body: bytes
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class Disk:
-    """What the publisher has kept; a copy of it may be restored."""
+    """The publisher's disk; a copy of it may be restored."""
 
     epoch: Epoch
     revision: int = 0
@@ -55,10 +55,10 @@
         self.disk = Disk(Epoch(1, b"1"))
         self.board = RolloutTracker()
         self.copies: list[Disk] = []
-        self.begin()
+        self.reset()
 
-    def begin(self) -> None:
-        """Start on what the disk holds."""
+    def reset(self) -> None:
+        """Start, or restart, with the contents of the disk."""
         disk, random = self.disk, self.world.random
         self.replica = self.world.parts.replica(
             self.world.parameters.max_resumable_changes, disk.epoch, disk.revision
@@ -67,7 +67,7 @@
         forgotten = max(
             len(disk.changes) - random.randrange(self.world.parameters.max_resumable_changes + 1), 0
         )
-        self.replica.set_resumable_from(forgotten)  # revisions count the changes
+        self.replica.set_resumable_from(forgotten)  # a revision is the number of changes up to it
         for revision, uid in disk.changes[forgotten:]:
             self.replica.record_change(revision, uid)
         self.replica.begin_epoch(disk.epoch, disk.parent)
@@ -75,7 +75,7 @@
             self.replica, self.world.parameters, self.now, is_publisher=True
         )
         self.board = RolloutTracker()
-        self.wires = {}
+        self.connections = {}
 
     def _resource(self, uid: str, content: Content) -> Resource:
         aliases = list(content.aliases)
@@ -92,25 +92,25 @@
         else:
             disk.contents[uid] = Content(disk.revision, body, tuple(aliases))
             resource = self._resource(uid, disk.contents[uid])
-        self.world.oracle.became(uid, body)
+        self.world.oracle.record_state(uid, body)
         self.note_coalescing(uid)
         self.replica.commit(resource)
         self.source.changed(uid, disk.revision, self.now)
 
     def restart(self, disk: Disk, parent: Position) -> None:
-        """Go on with this disk in a new epoch, which begins behind `parent`."""
-        for wire in list(self.wires.values()):
-            self.world.cut(wire)
+        """Restart with this disk in a new epoch, which begins at `parent`."""
+        for connection in list(self.connections.values()):
+            self.world.cut(connection)
         self.world.epochs += 1
         self.disk = disk
         disk.epoch = Epoch(self.world.epochs, str(self.world.epochs).encode())
         disk.parent = parent
         for uid in TENANTS:
             content = disk.contents.get(uid)
-            self.world.oracle.became(uid, content.body if content is not None else None)
-        self.begin()
+            self.world.oracle.record_state(uid, content.body if content is not None else None)
+        self.reset()
 
-    def overheard(self, session: Session, message: Message) -> None:
+    def on_message(self, session: Session, message: Message) -> None:
         if isinstance(message, Rollouts):
             self.board.report(session.name, message.rows, message.revision)
             for distributor, names in self.board.instances_joined(
@@ -120,6 +120,6 @@
         elif isinstance(message, Hello) and session.welcomed:
             self.board.connected(session.name)
 
-    def gone(self, session: Session) -> None:
+    def session_ended(self, session: Session) -> None:
         if session.name:
             self.board.disconnected(session.name)
--- a/tests/distribution/model/world.py
+++ b/tests/distribution/model/world.py
@@ -1,4 +1,4 @@
-"""All of the model, driven by one seed: steps of time, the network, the end of all faults."""
+"""Runs the model from one seed: steps of time, the network, the end of all faults."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from tests.distribution.model.distributor import Distributor
 from tests.distribution.model.events import Events
 from tests.distribution.model.instance import Node
-from tests.distribution.model.judgement import judge, judge_counts
-from tests.distribution.model.network import Follower, Process, Server, Wire
+from tests.distribution.model.judgement import check_counts, check_property
+from tests.distribution.model.network import Connection, Follower, Process, Server
 from tests.distribution.model.oracle import Oracle
 from tests.distribution.model.parts import (
     FAULTY_STEPS,
@@ -32,7 +32,7 @@
 
 
 class World:
-    """All of it, driven by one seed."""
+    """The whole model, driven by one seed."""
 
     def __init__(self, seed: int, parts: Parts | None = None, faults: Faults | None = None) -> None:
         self.seed = seed
@@ -45,21 +45,21 @@
         )
         self.faults = faults or Faults()
         if self.faults.admission:
-            few = Random(f"admission {seed}")
+            admission_random = Random(f"admission {seed}")
             self.parameters = replace(
                 self.parameters,
-                admissions_per_s=few.choice([10, 20, 40]),
-                admission_burst=few.choice([1, 2]),
+                admissions_per_s=admission_random.choice([10, 20, 40]),
+                admission_burst=admission_random.choice([1, 2]),
             )
-        self.late = Random(f"late answers {seed}")
+        self.late_random = Random(f"late answers {seed}")
         self.now = SECOND
         self.steps = 0
         self.epochs = 1
         self.faulty = True
         self.counts: Counter[str] = Counter()
         self.oracle = Oracle()
-        self.owners: dict[str, set[str]] = {}  # of each alias, over all time
-        self.wires: list[Wire] = []
+        self.owners: dict[str, set[str]] = {}  # by alias, including earlier owners
+        self.connections: list[Connection] = []
         self.distributors: dict[str, Distributor] = {}
         self.publisher = Publisher(self)
         for n in range(self.random.randint(1, 3)):
@@ -75,33 +75,33 @@
     # ---- running ---------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Faults for a while, then quiet; PropertyError where the property does not hold."""
+        """Run steps with faults, then steps without. Raises PropertyError if the property fails."""
         for _ in range(FAULTY_STEPS):
             self.events.draw()
             self.step()
-            judge_counts(self)
+            check_counts(self)
         self.settle()
-        judge(self)
+        check_property(self)
 
     def settle(self) -> None:
-        """All faults end; what is to come comes."""
+        """End all faults and let the processes converge."""
         self.faulty = False
         self.publisher.down_until = 0
         for distributor in self.distributors.values():
             distributor.down_until = distributor.isolated_until = 0
-        for wire in self.wires:
-            wire.stalled_until = 0
-            wire.room = 4
-            wire.slow = False
-            wire.cut_after = 0
+        for connection in self.connections:
+            connection.stalled_until = 0
+            connection.max_unread = 4
+            connection.slow = False
+            connection.cut_after_changes = 0
         if not self.publisher.disk.revision:
-            self.events.change(TENANTS[0])  # a source without any history serves nobody
+            self.events.change(TENANTS[0])  # a source without a history serves no subscriber
         late = self.faults.clock_jumps or self.faults.admission
         for _ in range(QUIET_STEPS_LATE if late else QUIET_STEPS):
             self.step()
 
     def step(self) -> None:
-        """Time passes; timers, then the network."""
+        """Advance the time by one step: timers first, then the network."""
         self.now += STEP
         self.steps += 1
         if self.publisher.runs:
@@ -110,10 +110,10 @@
             follower.tick()
             follower.dial()
         for _ in range(2):
-            for wire in list(self.wires):
-                self._carry(wire)
+            for connection in list(self.connections):
+                self._deliver_some(connection)
             for server in self._servers():
-                server.pump()
+                server.send_ready()
 
     def processes(self) -> list[Process]:
         return [self.publisher, *self.distributors.values(), *self.nodes]
@@ -126,31 +126,37 @@
         servers: list[Server] = [self.publisher, *self.distributors.values()]
         return [server for server in servers if server.runs]
 
-    def _carry(self, wire: Wire) -> None:
-        """Deliver some of what is on the way, in order."""
-        if wire.stalled_until > self.now or wire.cut:
+    def _deliver_some(self, connection: Connection) -> None:
+        """Deliver some of the messages under way, in order."""
+        if connection.stalled_until > self.now or connection.cut:
             return
         most = self.random.choice([0, 1, 2, 4]) if self.faulty else 8
         for _ in range(most):
-            if wire.up and not wire.cut:
-                self._deliver(wire, wire.server, wire.up.popleft())
-            if wire.down and not wire.cut and not (wire.slow and self.random.random() < 0.8):
-                self._deliver(wire, wire.follower, wire.down.popleft())
-        if wire.closing and not wire.down and not wire.cut:
-            self.cut(wire)
-
-    def _deliver(self, wire: Wire, receiver: Server | Follower, data: bytes) -> None:
+            if connection.up and not connection.cut:
+                self._deliver(connection, connection.server, connection.up.popleft())
+            if (
+                connection.down
+                and not connection.cut
+                and not (connection.slow and self.random.random() < 0.8)
+            ):
+                self._deliver(connection, connection.follower, connection.down.popleft())
+        if connection.closing and not connection.down and not connection.cut:
+            self.cut(connection)
+
+    def _deliver(self, connection: Connection, receiver: Server | Follower, data: bytes) -> None:
         try:
             message = unpack(data)
-            receiver.received(wire, message)
+            receiver.received(connection, message)
         except (ProtocolError, MessageError) as err:
-            raise PropertyError(f"{self}: {receiver.name} got what may not be said: {err}") from err
+            raise PropertyError(
+                f"{self}: {receiver.name} received an invalid message: {err}"
+            ) from err
         if isinstance(receiver, Server) and self.random.random() < 0.7:
-            receiver.pump()
-        if wire.cut_after and isinstance(message, Changes):
-            wire.cut_after -= 1
-            if not wire.cut_after:
-                self.cut(wire)
+            receiver.send_ready()
+        if connection.cut_after_changes and isinstance(message, Changes):
+            connection.cut_after_changes -= 1
+            if not connection.cut_after_changes:
+                self.cut(connection)
 
     # ---- the network -----------------------------------------------------------------------
 
@@ -161,42 +167,42 @@
         isolated = isinstance(follower, Distributor) and follower.isolated_until > self.now
         return server.runs and not isolated
 
-    def answers_later(self) -> bool:
-        """Whether a dial is answered in another step."""
-        late = self.faulty and self.faults.late_answers and self.late.random() < 0.7
+    def delays_dial_answer(self) -> bool:
+        """Whether a dial is answered in a later step."""
+        late = self.faulty and self.faults.late_answers and self.late_random.random() < 0.7
         self.counts["late answers"] += late
         return late
 
-    def connect(self, follower: Follower, attempt: int, server: Server) -> Wire:
-        wire = Wire(follower, attempt, server)
-        wire.room = self.random.choice([1, 2, 4])
-        wire.slow = self.faulty and self.random.random() < 0.4
-        server.wires[wire.number] = wire
-        self.wires.append(wire)
-        return wire
-
-    def cut(self, wire: Wire) -> None:
-        """A connection ends; what is on the way is lost. An end may not notice for itself."""
-        if wire.cut:
+    def connect(self, follower: Follower, attempt: int, server: Server) -> Connection:
+        connection = Connection(follower, attempt, server)
+        connection.max_unread = self.random.choice([1, 2, 4])
+        connection.slow = self.faulty and self.random.random() < 0.4
+        server.connections[connection.number] = connection
+        self.connections.append(connection)
+        return connection
+
+    def cut(self, connection: Connection) -> None:
+        """Cut a connection and drop the messages under way. One of its ends may not notice."""
+        if connection.cut:
             return
-        wire.cut = True
-        self.wires.remove(wire)
-        wire.up.clear()
-        wire.down.clear()
+        connection.cut = True
+        self.connections.remove(connection)
+        connection.up.clear()
+        connection.down.clear()
         half_open = self.faulty and self.random.random() < 0.3
         follower_notices = not half_open or self.random.random() < 0.5
         if not half_open or not follower_notices:
-            wire.server.closed(wire)
+            connection.server.closed(connection)
         if follower_notices:
-            wire.follower.lost(wire)
+            connection.follower.lost(connection)
 
-    # ---- what instances do and have asked for ----------------------------------------------
+    # ---- behaviour of instances ------------------------------------------------------------
 
-    def apply_time(self) -> int:
+    def apply_duration(self) -> int:
         return self.random.choice([0, 0, STEP, 5 * STEP]) if self.faulty else 0
 
-    def is_bad(self, body: bytes) -> bool:
-        """Whether instances refuse it; a matter of the content."""
+    def is_refused(self, body: bytes) -> bool:
+        """Whether instances refuse this content."""
         return body.split()[1].endswith(b"3")
 
     def owners_of(self, aliases: Iterable[str]) -> set[str]:
--- a/tests/distribution/simulation.py
+++ b/tests/distribution/simulation.py
@@ -1,8 +1,9 @@
-"""Subscribers and sources in simulated time: an event queue in the place of sockets and clocks.
+"""Simulates subscribers and sources in virtual time, with an event queue instead of sockets.
 
-The shipped cores run as they are, by the shipped terms. Time passes from event to event, so a test
-of thousands of seconds decides nothing by the wall clock. What a source's process or network does
-is set by the test: see `Condition`. `Records` keeps what was dialled, said and refused, and when.
+The production classes run unchanged, with the default parameters. Time jumps from event to event,
+so that a test of thousands of seconds does not depend on the wall clock. The test sets how the
+process or network of a source behaves: see `Condition`. `Records` keeps the times of dials, hellos,
+welcomes and refusals.
 """
 
 from __future__ import annotations
@@ -28,45 +29,46 @@
     Subscriber,
 )
 
-LATENCY = 2 * MS  # of a message, one way
-SOURCE_TICK = 100 * MS
+LATENCY_NS = 2 * MS  # of a message, one way
+SOURCE_TICK_NS = 100 * MS
 EPOCH = Epoch(1, b"a")
 TENANT = "t1"
 BEFORE, CHANGED = b"before", b"changed"
 
 
 class Condition(Enum):
-    """What a source is to whoever is connected to it, or dials it."""
+    """How a source behaves towards its subscribers."""
 
     RUNS = "runs"
-    SILENT = "silent"  # stopped, or cut off: nothing is answered, nothing is closed
-    DEAD = "dead"  # its connections are closed, dials are refused
-    PUBLISHER_UNREACHABLE = "deaf"  # cut off from the publisher alone: it serves what it has
+    SILENT = "silent"  # stopped or unreachable: no answers, and connections stay open
+    DEAD = "dead"  # connections are closed, dials are refused
+    PUBLISHER_UNREACHABLE = "deaf"  # still serves its subscribers
 
 
 @dataclass(frozen=True, slots=True)
 class Greeting:
-    """What a source said to a hello, or that one came."""
+    """A dial, a hello, a welcome or a refusal between a subscriber and a source."""
 
-    at: int  # time
+    at: int  # time in ns
     name: str
     address: str
-    retry_after: int = 0  # where it was turned away
+    retry_after: int = 0  # ns; set for a refusal
 
 
 @dataclass(slots=True)
 class Records:
-    """What has happened, in the order of time."""
+    """Recorded events in the order of time."""
 
     dials: list[Greeting] = field(default_factory=list)
     hellos: list[Greeting] = field(default_factory=list)
     welcomes: list[Greeting] = field(default_factory=list)
     refusals: list[Greeting] = field(default_factory=list)
-    applied: dict[str, int] = field(default_factory=dict)  # when CHANGED came into force, by name
+    # The time at which each instance applied CHANGED, by name.
+    applied: dict[str, int] = field(default_factory=dict)
 
 
 class SimulatedSource:
-    """A distributor that holds one tenant and hears the publisher while it is told so."""
+    """A distributor that holds one tenant; its condition says whether it reaches the publisher."""
 
     def __init__(self, simulation: Simulation, address: str, source_type: type[Source]) -> None:
         self.simulation = simulation
@@ -90,11 +92,11 @@
                 connection.end()
 
     def commit(self, body: bytes) -> None:
-        """A change arrives from the publisher."""
+        """Receive a change from the publisher."""
         revision = self.core.replica.revision + 1
         self.core.replica.commit(Resource(TENANT, revision, Kind.CONTENT, body))
         self.core.changed(TENANT, revision, self.simulation.now)
-        self.pump()
+        self.send_ready()
 
     def tick(self) -> None:
         now = self.simulation.now
@@ -103,8 +105,8 @@
         if self.is_answering:
             for number in self.core.tick(now):
                 self.connections[number].end()
-            self.pump()
-        self.simulation.after(SOURCE_TICK, self.tick)
+            self.send_ready()
+        self.simulation.after(SOURCE_TICK_NS, self.tick)
 
     def accept(self, subscriber: SimulatedSubscriber, attempt: int) -> Connection:
         connection = Connection(self, subscriber, attempt, self.core.opened(self.simulation.now))
@@ -116,19 +118,19 @@
         if isinstance(message, Hello):
             simulation.records.hellos.append(Greeting(simulation.now, name, self.address))
         self.core.received(connection.number, simulation.now, message)
-        self.pump()
+        self.send_ready()
 
-    def pump(self) -> None:
+    def send_ready(self) -> None:
         for number in sorted(self.core.ready):
             connection = self.connections[number]
             while (message := self.core.next_message(number, self.simulation.now)) is not None:
-                connection.send_down(message)
+                connection.send_to_subscriber(message)
             if self.core.sessions[number].closing:
-                self.simulation.after(2 * LATENCY, connection.end)
+                self.simulation.after(2 * LATENCY_NS, connection.end)
 
 
 class Connection:
-    """One that was accepted; an end that is silent takes and says nothing."""
+    """An accepted connection. A silent end neither receives nor sends."""
 
     def __init__(
         self, source: SimulatedSource, subscriber: SimulatedSubscriber, attempt: int, number: int
@@ -139,21 +141,21 @@
         self.number = number
         self.open = True
 
-    def send_down(self, message: Message) -> None:
-        self.source.simulation.after(LATENCY, lambda: self._arrive_down(message))
+    def send_to_subscriber(self, message: Message) -> None:
+        self.source.simulation.after(LATENCY_NS, lambda: self._arrive_at_subscriber(message))
 
-    def send_up(self, message: Message) -> None:
-        self.source.simulation.after(LATENCY, lambda: self._arrive_up(message))
+    def send_to_source(self, message: Message) -> None:
+        self.source.simulation.after(LATENCY_NS, lambda: self._arrive_at_source(message))
 
     def end(self) -> None:
-        """Closed at the source's end; the subscriber hears of it."""
+        """Close at the source; the subscriber notices after the latency."""
         if self._close_source():
-            self.source.simulation.after(LATENCY, lambda: self.subscriber.lost(self.attempt))
+            self.source.simulation.after(LATENCY_NS, lambda: self.subscriber.lost(self.attempt))
 
-    def hang_up(self) -> None:
-        """Closed at the subscriber's end; a source that answers hears of it."""
+    def close_from_subscriber(self) -> None:
+        """Close at the subscriber; a source that answers notices after the latency."""
         if self.source.is_answering and not self.subscriber.silent:
-            self.source.simulation.after(LATENCY, self._close_source)
+            self.source.simulation.after(LATENCY_NS, self._close_source)
 
     def _close_source(self) -> bool:
         was_open, self.open = self.open, False
@@ -162,28 +164,28 @@
             self.source.core.closed(self.number, self.source.simulation.now)
         return was_open
 
-    def _arrive_down(self, message: Message) -> None:
+    def _arrive_at_subscriber(self, message: Message) -> None:
         if self.source.is_answering and not self.subscriber.silent:
             self.subscriber.received(self, message)
 
-    def _arrive_up(self, message: Message) -> None:
+    def _arrive_at_source(self, message: Message) -> None:
         if self.open and self.source.is_answering and not self.subscriber.silent:
             self.source.received(self, message)
 
 
 class SimulatedSubscriber:
-    """An instance that holds the tenant and puts into force at once what it is told."""
+    """An instance that holds the tenant and applies every state at once."""
 
     def __init__(self, simulation: Simulation, core: Subscriber) -> None:
         self.simulation = simulation
         self.core = core
-        self.silent = False  # its machine is gone: nothing more is said, nothing is closed
+        self.silent = False  # its machine is gone: it sends and closes nothing
         self.connections: dict[int, Connection] = {}
         self._timer = -1
 
     @property
     def body(self) -> bytes:
-        """Of the tenant, as it is in force."""
+        """The applied content of the tenant."""
         return self.core.replica.entries[TENANT].body
 
     def start(self) -> None:
@@ -215,37 +217,37 @@
         while self.core.actions:
             actions, self.core.actions = self.core.actions, []
             for action in actions:
-                self._do(action)
+                self._perform(action)
         due = max(self.core.next_due(), self.simulation.now + MS)
         if self._timer <= self.simulation.now or due < self._timer:
             self._timer = due
-            self.simulation.after(due - self.simulation.now, lambda: self._ring(due))
+            self.simulation.after(due - self.simulation.now, lambda: self._on_timer(due))
 
-    def _ring(self, due: int) -> None:
+    def _on_timer(self, due: int) -> None:
         if self._timer == due:
             self._timer = -1
             self.tick()
 
-    def _do(self, action: Action) -> None:
+    def _perform(self, action: Action) -> None:
         simulation = self.simulation
         if isinstance(action, Dial):
             greeting = Greeting(simulation.now, self.core.name, action.address)
             simulation.records.dials.append(greeting)
-            simulation.after(2 * LATENCY, lambda: self._dialled(action))
+            simulation.after(2 * LATENCY_NS, lambda: self._answer_dial(action))
         elif isinstance(action, Disconnect):
             connection = self.connections.pop(action.attempt, None)
             if connection is not None:
-                connection.hang_up()
+                connection.close_from_subscriber()
         elif isinstance(action, Send):
             connection = self.connections.get(self.core.attempt)
             if connection is not None:
-                connection.send_up(action.message)
+                connection.send_to_source(action.message)
         elif isinstance(action, Apply):
             if self.body == CHANGED:
                 simulation.records.applied[self.core.name] = simulation.now
             self.core.applied(action.batch, simulation.now)
 
-    def _dialled(self, action: Dial) -> None:
+    def _answer_dial(self, action: Dial) -> None:
         if action.attempt not in self.core.dialing:
             return
         source = self.simulation.sources[action.address]
@@ -260,7 +262,7 @@
 
 
 class Simulation:
-    """Some sources, any number of subscribers, one clock."""
+    """Sources and subscribers with one virtual clock."""
 
     def __init__(
         self,
@@ -287,7 +289,7 @@
         addresses: Sequence[str] = (),
         subscriber_type: type[Subscriber] = Subscriber,
     ) -> list[SimulatedSubscriber]:
-        """Instances that know all sources, or those at `addresses`; they don't dial yet."""
+        """Add instances that know all sources, or those at `addresses`; they don't dial yet."""
         added = []
         for _ in range(number):
             name = f"node-{len(self.subscribers)}"
@@ -306,28 +308,29 @@
         return added
 
     def start(self, over: int = 0) -> None:
-        """All subscribers that were added start, within the time `over`."""
+        """Start all subscribers at random times within `over` ns."""
         for subscriber in self.subscribers:
             self.after(self.random.randrange(over + 1), subscriber.start)
 
     def connect_all(self, over: int) -> None:
-        """Start, and run until all are connected and every queue is empty."""
+        """Start all subscribers, run until 2 s after `over`, and check that all are connected."""
         self.start(over)
         self.run(over + 2 * SECOND)
         assert all(subscriber.core.link is Link.UP for subscriber in self.subscribers)
 
     def commit(self, body: bytes = CHANGED) -> None:
-        """A change, at every source that the publisher reaches."""
+        """Commit a change at every source that the publisher reaches."""
         for source in self.sources.values():
             if source.condition is Condition.RUNS:
                 source.commit(body)
 
-    def after(self, wait: int, call: Callable[[], object]) -> None:
-        heapq.heappush(self._events, (self.now + wait, next(self._numbers), call))
+    def after(self, delay: int, call: Callable[[], object]) -> None:
+        """Schedule a call `delay` ns from now."""
+        heapq.heappush(self._events, (self.now + delay, next(self._numbers), call))
 
-    def run(self, time: int) -> None:
-        """Let time pass."""
-        until = self.now + time
+    def run(self, duration: int) -> None:
+        """Run all events of the next `duration` ns."""
+        until = self.now + duration
         while self._events and self._events[0][0] <= until:
             self.now, _, call = heapq.heappop(self._events)
             call()
@@ -335,11 +338,11 @@
 
 
 def max_in_window(times: Sequence[int], window: int) -> int:
-    """How many of these lie within the busiest stretch of that length."""
+    """Return the largest number of these times within any window of this length."""
     ordered = sorted(times)
-    most = begin = 0
-    for end, at in enumerate(ordered):
-        while ordered[begin] <= at - window:
-            begin += 1
-        most = max(most, end - begin + 1)
-    return most
+    largest = first = 0
+    for last, time in enumerate(ordered):
+        while ordered[first] <= time - window:
+            first += 1
+        largest = max(largest, last - first + 1)
+    return largest
--- a/tests/distribution/test_distributor.py
+++ b/tests/distribution/test_distributor.py
@@ -1,4 +1,4 @@
-"""The distributor's process: its words at the start, its counters, its end."""
+"""The distributor process: its command line, its counters file, its key file and its end."""
 
 from __future__ import annotations
 
@@ -23,43 +23,43 @@
 from tansywood.fleet.seal import KeyFileError
 from windrelay.config import Address
 
-LIMIT_S = 20  # a hang, not a measure
+TEST_TIMEOUT_S = 20  # only guards against a hang
 
 
-def key_file(folder: Path, byte: int = 7) -> Path:
+def write_key_file(folder: Path, byte: int = 7) -> Path:
     path = folder / "fleet.key"
     path.write_text(bytes([byte] * 32).hex() + "\n")
     path.chmod(0o600)
     return path
 
 
-def test_a_distributor_process_follows_the_publisher_and_ends_when_told(tmp_path: Path) -> None:
-    async def story() -> None:
-        keys = KeyFile(key_file(tmp_path))
+def test_a_distributor_process_follows_the_publisher_and_ends_on_sigterm(tmp_path: Path) -> None:
+    async def main() -> None:
+        keys = KeyFile(write_key_file(tmp_path))
         replica = Replica(100, Epoch(1, b"a"))
         source = Source(replica, Parameters(), time.monotonic_ns(), is_publisher=True)
         server = SourceServer(source, keys, "fleet")
         for number in range(1, 4):
             replica.commit(Resource(f"t{number}", number, Kind.CONTENT, b"body", []))
-        at = await server.start(Address("127.0.0.1", 0))
+        listening = await server.start(Address("127.0.0.1", 0))
         counters = tmp_path / "counters.json"
         process = await asyncio.create_subprocess_exec(
             *(sys.executable, "-m", "tansywood.distribution.distributor"),
             *("d1", "127.0.0.1:0", "fleet", str(tmp_path / "fleet.key")),
-            *("--publisher", f"{at.host}:{at.port}", "--counters", str(counters)),
+            *("--publisher", f"{listening.host}:{listening.port}", "--counters", str(counters)),
             cwd=ROOT,
             stderr=asyncio.subprocess.PIPE,
         )
         try:
-            async with asyncio.timeout(LIMIT_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert process.stderr is not None
                 first = await process.stderr.readline()
                 assert first.startswith(b"distributor d1: listening at 127.0.0.1:")
                 assert await process.stderr.readline() == b"distributor d1: ready\n"
                 while not counters.exists():
                     await asyncio.sleep(0.02)
-                told = json.loads(counters.read_text())
-                assert (told["entries"], told["revision"], told["serving"]) == (3, 3, True)
+                values = json.loads(counters.read_text())
+                assert (values["entries"], values["revision"], values["serving"]) == (3, 3, True)
                 process.send_signal(signal.SIGTERM)
                 assert await process.wait() == 0
         finally:
@@ -68,39 +68,41 @@
                 await process.wait()
             server.stop()
 
-    asyncio.run(story())
+    asyncio.run(main())
 
 
-def test_a_report_is_sent_in_messages_that_the_protocol_takes() -> None:
+def test_a_long_report_is_split_into_messages_within_the_bounds_of_the_protocol() -> None:
     rows = [Rollout(f"t{n}", n, 1, 0) for n in range(2_500)]
     names = [f"node-{n}" for n in range(5_000)]
-    sent = list(split_report(Rollouts(rows, names)))
-    assert [len(message.rows) for message in sent] == [1024, 1024, 452]
-    assert [row for message in sent for row in message.rows] == rows
-    assert [name for message in sent for name in message.joined] == names
-
-
-def test_keys_are_read_anew_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    told: list[str] = []
-    path = key_file(tmp_path)
-    keys = KeyFile(path, told.append)
+    messages = list(split_report(Rollouts(rows, names)))
+    assert [len(message.rows) for message in messages] == [1024, 1024, 452]
+    assert [row for message in messages for row in message.rows] == rows
+    assert [name for message in messages for name in message.joined] == names
+
+
+def test_a_changed_key_file_is_reloaded_and_an_invalid_one_is_logged_once_and_ignored(
+    tmp_path: Path,
+) -> None:
+    logged: list[str] = []
+    path = write_key_file(tmp_path)
+    keys = KeyFile(path, logged.append)
     assert keys() == [bytes([7] * 32)]
-    key_file(tmp_path, 8)
+    write_key_file(tmp_path, 8)
     os.utime(path, ns=(1, 1))
     assert keys() == [bytes([8] * 32)]
     path.write_text("no key\n")
     os.utime(path, ns=(2, 2))
     assert keys() == [bytes([8] * 32)]
-    assert len(told) == 1
+    assert len(logged) == 1
     assert keys() == [bytes([8] * 32)]
-    assert len(told) == 1
+    assert len(logged) == 1
     with pytest.raises(KeyFileError):
         KeyFile(path)
 
 
-def test_an_address_that_is_none_is_refused_at_the_start(tmp_path: Path) -> None:
-    words = ["d1", "127.0.0.1:0", "fleet", str(tmp_path / "key")]
+def test_an_invalid_or_missing_publisher_address_is_refused_at_the_start(tmp_path: Path) -> None:
+    arguments = ["d1", "127.0.0.1:0", "fleet", str(tmp_path / "key")]
     with pytest.raises(SystemExit):
-        parse_arguments([*words, "--publisher", "nowhere"])
+        parse_arguments([*arguments, "--publisher", "nowhere"])
     with pytest.raises(SystemExit):
-        parse_arguments(words)
+        parse_arguments(arguments)
--- a/tests/distribution/test_histories.py
+++ b/tests/distribution/test_histories.py
@@ -1,4 +1,4 @@
-"""The property over random histories, and that it finds each defence that is taken out."""
+"""The property of the model over random histories, and that it fails without each safeguard."""
 
 from __future__ import annotations
 
@@ -7,23 +7,25 @@
 import pytest
 
 from tests.distribution.model.defences import (
-    AnyEpochReplica,
-    BoastfulSubscriber,
-    EarlyCountingSource,
-    NoWindowReplica,
+    ClockTrustingSource,
+    EarlyAcknowledgingSource,
+    EpochIgnoringReplica,
     OldPlaceSource,
-    TrustedClockSource,
+    PrematureSubscriber,
+    UnlimitedResumeReplica,
 )
 from tests.distribution.model.parts import Faults, Parts, PropertyError
 from tests.distribution.model.world import World
 
 SEEDS = range(240)
-ONCE_BROKEN = (1865, 5342, 5763, 6086, 7822, 10477)  # before what they found was mended
-MORE_SEEDS = range(80)  # with each of the further faults
+# Histories of these seeds violated the property before the faults that they found were fixed.
+REGRESSION_SEEDS = (1865, 5342, 5763, 6086, 7822, 10477)
+FAULT_SEEDS = range(80)  # for each of the optional faults
 SLOW_READERS = Faults(slow_readers=True)
-ORDER_SEEDS, ORDER_FOUND = range(200), 10  # a missing order of coalescing is found by so many
-LOOKED_AT = range(400)  # seeds until a missing defence has to be found
-OFTEN = {  # what has to have happened over all seeds, at least so many times
+# At least this many histories of these seeds detect a wrong order of coalesced changes.
+ORDER_SEEDS, MIN_ORDER_DETECTIONS = range(200), 10
+SAFEGUARD_SEEDS = range(400)  # one of these seeds has to detect a missing safeguard
+MIN_COUNTS = {  # the least number of each event over all seeds
     "compared": 1_000,
     "resumed": 1_000,
     "coalesced": 300,
@@ -42,22 +44,24 @@
 }
 
 
-def play(seed: int, parts: Parts | None = None, faults: Faults | None = None) -> Counter[str]:
+def run_history(
+    seed: int, parts: Parts | None = None, faults: Faults | None = None
+) -> Counter[str]:
     world = World(seed, parts, faults)
     world.run()
     return world.counts
 
 
-def test_no_node_goes_back_and_all_hold_what_they_subscribe_to_once_it_is_quiet() -> None:
+def test_no_instance_goes_back_to_an_older_state_and_all_converge_after_the_faults() -> None:
     counts: Counter[str] = Counter()
     for seed in SEEDS:
-        counts += play(seed)
-    rare = {what: counts[what] for what, least in OFTEN.items() if counts[what] < least}
+        counts += run_history(seed)
+    rare = {event: counts[event] for event, least in MIN_COUNTS.items() if counts[event] < least}
     assert not rare
 
 
 @pytest.mark.parametrize(
-    ("faults", "often"),
+    ("faults", "min_counts"),
     [
         (SLOW_READERS, {"slow readers": 50, "coalesced": 500}),
         (Faults(clock_jumps=True), {"clocks back": 200, "clocks ahead": 200}),
@@ -70,33 +74,35 @@
     ],
     ids=["slow readers", "clock jumps", "admission", "late answers", "all of them"],
 )
-def test_it_holds_with_further_faults(faults: Faults, often: dict[str, int]) -> None:
+def test_the_property_holds_with_optional_faults(
+    faults: Faults, min_counts: dict[str, int]
+) -> None:
     counts: Counter[str] = Counter()
-    for seed in MORE_SEEDS:
-        counts += play(seed, faults=faults)
-    rare = {what: counts[what] for what, least in often.items() if counts[what] < least}
+    for seed in FAULT_SEEDS:
+        counts += run_history(seed, faults=faults)
+    rare = {event: counts[event] for event, least in min_counts.items() if counts[event] < least}
     assert not rare
 
 
 @pytest.mark.parametrize(
     ("seed", "faults"),
     [
-        *((seed, Faults()) for seed in ONCE_BROKEN),
+        *((seed, Faults()) for seed in REGRESSION_SEEDS),
         (2676, Faults(clock_jumps=True)),
         (3269, SLOW_READERS),
     ],
 )
-def test_a_history_that_once_broke_the_property_holds(seed: int, faults: Faults) -> None:
-    play(seed, faults=faults)
+def test_a_history_that_once_violated_the_property_holds(seed: int, faults: Faults) -> None:
+    run_history(seed, faults=faults)
 
 
-# ---- defences taken out ----------------------------------------------------------------------
+# ---- removed safeguards ----------------------------------------------------------------------
 
 
-def found_by(seed: int, parts: Parts, faults: Faults | None = None) -> str:
-    """What the property says of a history; empty where it holds."""
+def violation(seed: int, parts: Parts, faults: Faults | None = None) -> str:
+    """Return how a history violates the property, empty if the property holds."""
     try:
-        play(seed, parts, faults)
+        run_history(seed, parts, faults)
     except PropertyError as err:
         return str(err)
     return ""
@@ -105,24 +111,26 @@
 @pytest.mark.parametrize(
     ("parts", "faults"),
     [
-        (Parts(replica=AnyEpochReplica), Faults()),
-        (Parts(replica=NoWindowReplica), Faults()),
+        (Parts(replica=EpochIgnoringReplica), Faults()),
+        (Parts(replica=UnlimitedResumeReplica), Faults()),
         (Parts(source=OldPlaceSource), SLOW_READERS),
-        (Parts(source=EarlyCountingSource), Faults()),
-        (Parts(subscriber=BoastfulSubscriber), Faults()),
+        (Parts(source=EarlyAcknowledgingSource), Faults()),
+        (Parts(subscriber=PrematureSubscriber), Faults()),
     ],
-    ids=["epoch", "window", "order of coalescing", "found is not in force", "nor elsewhere"],
+    ids=["epoch", "resume window", "order of coalescing", "unapplied lookups", "unapplied states"],
 )
-def test_a_defence_that_is_taken_out_is_found(parts: Parts, faults: Faults) -> None:
-    assert any(found_by(seed, parts, faults) for seed in LOOKED_AT)
+def test_a_removed_safeguard_is_detected(parts: Parts, faults: Faults) -> None:
+    assert any(violation(seed, parts, faults) for seed in SAFEGUARD_SEEDS)
 
 
-def test_a_missing_order_of_coalescing_is_found_by_many_histories_with_slow_readers() -> None:
+def test_a_wrong_order_of_coalesced_changes_is_detected_by_many_histories_with_slow_readers() -> (
+    None
+):
     parts = Parts(source=OldPlaceSource)
-    found = [seed for seed in ORDER_SEEDS if found_by(seed, parts, SLOW_READERS)]
-    assert len(found) >= ORDER_FOUND
+    detecting = [seed for seed in ORDER_SEEDS if violation(seed, parts, SLOW_READERS)]
+    assert len(detecting) >= MIN_ORDER_DETECTIONS
 
 
-def test_a_source_that_trusts_its_clock_is_found_by_histories_with_clock_jumps() -> None:
-    parts, faults = Parts(source=TrustedClockSource), Faults(clock_jumps=True)
-    assert any(found_by(seed, parts, faults) for seed in LOOKED_AT)
+def test_a_source_that_trusts_its_clock_is_detected_by_histories_with_clock_jumps() -> None:
+    parts, faults = Parts(source=ClockTrustingSource), Faults(clock_jumps=True)
+    assert any(violation(seed, parts, faults) for seed in SAFEGUARD_SEEDS)
--- a/tests/distribution/test_resources.py
+++ b/tests/distribution/test_resources.py
@@ -1,4 +1,4 @@
-"""Views as resources: what can't be encoded or read says where and why."""
+"""Views as resources: a view that can't be encoded or decoded names its tenant and the reason."""
 
 from __future__ import annotations
 
@@ -12,58 +12,62 @@
 from tests.tenancy.documents import document
 
 
-def view(**over: Any) -> dict[str, Any]:
-    made = document("cork", callers={"hosts": ["cork.example.org"], "listeners": ["public"]})
+def make_view(**overrides: Any) -> dict[str, Any]:
+    tenant_document = document(
+        "cork", callers={"hosts": ["cork.example.org"], "listeners": ["public"]}
+    )
     return {
         "uid": "u1",
         "status": "active",
         "version": 3,
-        "document": made,
+        "document": tenant_document,
         "since": 0,
         "keys": [{"id": "key1"}],
-    } | over
+    } | overrides
 
 
-def test_a_view_comes_through_and_its_aliases_are_all_it_is_asked_by() -> None:
-    resource = encode("u1", 7, view())
-    assert decode("u1", resource.body) == view()
+def test_a_view_survives_encoding_and_has_every_alias() -> None:
+    resource = encode("u1", 7, make_view())
+    assert decode("u1", resource.body) == make_view()
     assert resource.revision == 7 and resource.kind is Kind.CONTENT
     assert sorted(resource.aliases) == ["h:cork.example.org", "k:key1", "l:public", "n:cork"]
-    assert list(aliases_of(view())) == resource.aliases
+    assert list(aliases_of(make_view())) == resource.aliases
 
 
-def test_no_view_is_a_removal() -> None:
+def test_a_missing_view_is_encoded_as_a_removal() -> None:
     resource = encode("u1", 7, None)
     assert resource.kind is Kind.REMOVED and not resource.body
 
 
-def test_a_view_over_its_size_is_refused_with_the_tenant_and_the_bound() -> None:
-    large = view(document=document("cork", note="x" * MAX_BODY_BYTES))
+def test_an_oversize_view_is_refused_with_its_tenant_and_the_limit() -> None:
+    large = make_view(document=document("cork", note="x" * MAX_BODY_BYTES))
     with pytest.raises(ViewError, match=f"tenant u1: .* bytes, {MAX_BODY_BYTES} at most"):
         encode("u1", 7, large)
 
 
 @pytest.mark.parametrize(
-    ("body", "why"),
+    ("body", "reason"),
     [
         (b"", "can't be read"),
         (b"[]", "can't be read"),
         (b"{", "can't be read"),
         (b"{}", "can't be read"),
-        (msgspec.json.encode(view())[:-1], "can't be read"),
-        (msgspec.json.encode(view(uid="u2")), "it is the view of u2"),
-        (msgspec.json.encode(view(document={})), "can't be read"),
-        (msgspec.json.encode(view(document=None)), "can't be read"),
+        (msgspec.json.encode(make_view())[:-1], "can't be read"),
+        (msgspec.json.encode(make_view(uid="u2")), "it is the view of u2"),
+        (msgspec.json.encode(make_view(document={})), "can't be read"),
+        (msgspec.json.encode(make_view(document=None)), "can't be read"),
         (
-            msgspec.json.encode(view(document={"name": "n", "classes": [], "servers": []})),
+            msgspec.json.encode(make_view(document={"name": "n", "classes": [], "servers": []})),
             "can't be read",
         ),
         (
-            msgspec.json.encode({k: v for k, v in view().items() if k != "keys"}),
+            msgspec.json.encode({k: v for k, v in make_view().items() if k != "keys"}),
             "lacks status, version, since or keys",
         ),
     ],
 )
-def test_a_body_that_is_no_view_says_whose_and_why(body: bytes, why: str) -> None:
-    with pytest.raises(ViewError, match=f"tenant u1: .*{why}"):
+def test_an_invalid_body_is_refused_with_its_tenant_and_the_reason(
+    body: bytes, reason: str
+) -> None:
+    with pytest.raises(ViewError, match=f"tenant u1: .*{reason}"):
         decode("u1", body)
--- a/tests/distribution/test_whole.py
+++ b/tests/distribution/test_whole.py
@@ -1,8 +1,8 @@
-"""Whole nodes, distributors and a publisher as processes, with faults between them.
+"""Nodes, distributors and a publisher as processes, with faults between them.
 
-A change is seen to be in force at a node by what it does: its requests are run by the server that
-the change names. How long that takes is measured by benchmarks/distribution.py; here it has to
-come, no request may be lost and none run twice.
+A node has applied a change once its requests are run by the server that the change names. These
+tests require that every change is applied in the end, and that no request is lost or run twice;
+benchmarks/distribution.py measures how long a change takes.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 
 from ..service.world import PATIENCE_MS, PATIENT, WIDE, Side
 
-LIMIT_S = 30.0  # a hang, not a measure
+TEST_TIMEOUT_S = 30.0  # only guards against a hang
 TENANT = "cork"
 
 
-class Story:
-    """Three nodes and two distributors; a tenant whose callers ask at every node all the time."""
+class Scenario:
+    """Three nodes, two distributors, and a tenant whose callers send requests to every node."""
 
     def __init__(self, machines: Distributed) -> None:
         self.machines = machines
@@ -55,7 +55,7 @@
             ports, self.side.ledger, self.side.rng, self.side.headers(), PATIENCE_MS
         )
         self.callers.start()
-        await self.served_by("s-0")
+        await self.wait_served_by("s-0")
 
     def port(self, node: str) -> int:
         return self.machines.nodes[node].port
@@ -63,28 +63,28 @@
     async def call(self, method: str, path: str, body: object = None) -> Any:
         return (await asyncio.to_thread(self.operator.must, method, path, body)).body
 
-    async def change_to(self, index: int) -> None:
-        """Its one server is another now."""
+    async def change_server(self, index: int) -> None:
+        """Replace the only server of the tenant by another one."""
         name, port = self.side.listed[index]
         row = {"name": name, "address": f"127.0.0.1:{port}", "started_ms": 1}
         self.document = self.document | {"servers": [row]}
         await self.call("PUT", f"/v1/tenants/{TENANT}", self.document)
 
-    async def served_by(self, server: str, nodes: Collection[str] | None = None) -> None:
-        """Until these nodes' requests, or all nodes', are run by this server."""
-        await self.callers.served_by(server, LIMIT_S, nodes)
+    async def wait_served_by(self, server: str, nodes: Collection[str] | None = None) -> None:
+        """Wait until this server runs the requests of these nodes, or of all nodes."""
+        await self.callers.served_by(server, TEST_TIMEOUT_S, nodes)
 
     async def distributor_of(self, node: str) -> str:
-        """Whom a node follows; it follows somebody in the end."""
-        async with asyncio.timeout(LIMIT_S):
+        """Wait until a node follows a distributor, and return its name."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while not (name := await asyncio.to_thread(self.machines.distributor_of, node)):
                 await asyncio.sleep(0.05)
         return name
 
-    async def served_on(self, requests: int) -> None:
-        """Until so many more were asked."""
+    async def wait_for_requests(self, requests: int) -> None:
+        """Wait until the callers have sent this many more requests."""
         asked = len(self.side.ledger.entries)
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while len(self.side.ledger.entries) < asked + requests:
                 await asyncio.sleep(0.02)
 
@@ -93,44 +93,45 @@
         await self.machines.start_publisher()
         self.operator = self.machines.publisher.operator()
 
-    async def complete(self) -> dict[str, Any]:
-        """Until the API knows of nobody who lacks the last change."""
-        async with asyncio.timeout(LIMIT_S):
+    async def wait_complete(self) -> dict[str, Any]:
+        """Wait until the API reports that the last change is complete, and return the rollout."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while True:
-                told: dict[str, Any] = await self.call("GET", f"/v1/tenants/{TENANT}/rollout")
-                if told["complete"]:
-                    return told
+                rollout: dict[str, Any] = await self.call("GET", f"/v1/tenants/{TENANT}/rollout")
+                if rollout["complete"]:
+                    return rollout
                 await asyncio.sleep(0.05)
 
-    async def refused(self, count: int) -> dict[str, Any]:
-        """Until the API says that so many nodes refuse the last change."""
-        async with asyncio.timeout(LIMIT_S):
+    async def wait_refused(self, count: int) -> dict[str, Any]:
+        """Wait until the API reports that `count` nodes refuse the last change."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while True:
-                told: dict[str, Any] = await self.call("GET", f"/v1/tenants/{TENANT}/rollout")
-                if told["nodes"]["refused"] >= count:
-                    return told
+                rollout: dict[str, Any] = await self.call("GET", f"/v1/tenants/{TENANT}/rollout")
+                if rollout["nodes"]["refused"] >= count:
+                    return rollout
                 await asyncio.sleep(0.05)
 
     async def status(self, node: str) -> Mapping[str, Any]:
-        """What a node's operator is told."""
+        """Return the status that a node reports to its operator."""
         return await asyncio.to_thread(self.machines.nodes[node].status)
 
     def check(self) -> None:
+        """Fail if a request was lost, run twice or failed."""
         ledger = self.side.ledger
         assert not ledger.problems(breaks=False)
         assert not [e for e in ledger.entries.values() if End.FAILED in e.ends]
 
 
 @asynccontextmanager
-async def story(folder: Path) -> AsyncIterator[Story]:
+async def scenario_with_callers(folder: Path) -> AsyncIterator[Scenario]:
     async with distributed(folder) as machines:
-        told = Story(machines)
+        scenario = Scenario(machines)
         try:
-            await told.begin()
-            yield told
+            await scenario.begin()
+            yield scenario
         finally:
-            await told.callers.stop()
-            for server in told.side.servers:
+            await scenario.callers.stop()
+            for server in scenario.side.servers:
                 server.kill()
 
 
@@ -145,59 +146,59 @@
     machines.distributors[name].stop_all()
 
 
-async def cut(machines: Distributed, name: str) -> None:
+async def cut_links(machines: Distributed, name: str) -> None:
     for (_, distributor), relay in machines.ways.items():
         if distributor == name:
             relay.cut()
 
 
-async def cut_upward(machines: Distributed, name: str) -> None:
+async def cut_publisher_link(machines: Distributed, name: str) -> None:
     machines.upward[name].cut()
 
 
-@pytest.mark.parametrize("fault", [kill, stop, cut, cut_upward])
-def test_a_change_gets_through_while_a_nodes_distributor_is_away(
+@pytest.mark.parametrize("fault", [kill, stop, cut_links, cut_publisher_link])
+def test_a_change_is_applied_although_the_distributor_of_a_node_fails(
     tmp_path: Path, fault: Fault
 ) -> None:
     async def main() -> None:
-        async with story(tmp_path) as told:
-            name = await asyncio.to_thread(told.machines.distributor_of, "n0")
+        async with scenario_with_callers(tmp_path) as scenario:
+            name = await asyncio.to_thread(scenario.machines.distributor_of, "n0")
             assert name
-            await fault(told.machines, name)
-            await told.change_to(1)
-            await told.served_by("s-1")
-        told.check()
+            await fault(scenario.machines, name)
+            await scenario.change_server(1)
+            await scenario.wait_served_by("s-1")
+        scenario.check()
 
     asyncio.run(main())
 
 
-def test_the_api_says_that_all_nodes_have_a_change(tmp_path: Path) -> None:
+def test_the_api_reports_that_all_nodes_have_applied_a_change(tmp_path: Path) -> None:
     async def main() -> None:
-        async with story(tmp_path) as told:
-            await told.change_to(1)
-            rollout = await told.complete()
+        async with scenario_with_callers(tmp_path) as scenario:
+            await scenario.change_server(1)
+            rollout = await scenario.wait_complete()
             assert rollout["nodes"] == {"have": 3, "waiting": 0, "refused": 0}
             assert rollout["distributors"] == {"have": 2, "waiting": []}
-            await told.served_by("s-1")
-        told.check()
+            await scenario.wait_served_by("s-1")
+        scenario.check()
 
     asyncio.run(main())
 
 
-def test_each_node_tells_what_its_callers_got_and_the_api_says_where_to_ask(
+def test_each_node_reports_the_results_of_its_callers_and_the_api_refers_to_the_nodes(
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
-        async with story(tmp_path) as told:
-            await told.served_on(50)
-            await told.callers.stop()
-            here = await told.call("GET", f"/v1/tenants/{TENANT}/report")
+        async with scenario_with_callers(tmp_path) as scenario:
+            await scenario.wait_for_requests(50)
+            await scenario.callers.stop()
+            here = await scenario.call("GET", f"/v1/tenants/{TENANT}/report")
             assert here["classes"] == {} and "distribution report" in here["note"]
-            ledger = told.side.ledger
-            for name, node in told.machines.nodes.items():
+            ledger = scenario.side.ledger
+            for name, node in scenario.machines.nodes.items():
                 entries = [e for rid, e in ledger.entries.items() if rid.startswith(f"{name}.")]
                 answered = sum(End.SERVED in entry.ends for entry in entries)
-                async with asyncio.timeout(LIMIT_S):
+                async with asyncio.timeout(TEST_TIMEOUT_S):
                     while True:
                         report = await asyncio.to_thread(node.report, TENANT)
                         rows = report["classes"].values()
@@ -205,158 +206,169 @@
                         if served >= answered:
                             break
                         await asyncio.sleep(0.1)
-                # One may have been answered to a caller that had left.
+                # A node counts an answer as served even if its caller has disconnected.
                 assert 0 < answered <= served <= answered + 1
                 assert all(row["p99_ms"] > 0 for row in rows if row["served"])
-        told.check()
+        scenario.check()
 
     asyncio.run(main())
 
 
-def test_nodes_serve_on_while_all_control_is_away_and_take_up_what_they_missed(
+def test_nodes_keep_serving_without_any_distributor_and_apply_missed_changes_later(
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
-        async with story(tmp_path) as told:
-            machines = told.machines
+        async with scenario_with_callers(tmp_path) as scenario:
+            machines = scenario.machines
             for name in machines.distributors:
                 await kill(machines, name)
-            served = len(told.side.ledger.entries)
-            await told.change_to(1)
-            async with asyncio.timeout(LIMIT_S):
-                while len(told.side.ledger.entries) < served + 200:
+            served = len(scenario.side.ledger.entries)
+            await scenario.change_server(1)
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                while len(scenario.side.ledger.entries) < served + 200:
                     await asyncio.sleep(0.02)
             status = await asyncio.to_thread(machines.nodes["n0"].status)
             assert status["age_ms"] > 0
-            assert set(told.callers.last_ran.values()) == {"s-0"}
+            assert set(scenario.callers.last_ran.values()) == {"s-0"}
             for name in machines.distributors:
                 await machines.start_distributor(name)
-            await told.served_by("s-1")
-        told.check()
+            await scenario.wait_served_by("s-1")
+        scenario.check()
 
     asyncio.run(main())
 
 
-def test_a_publisher_started_again_goes_on_and_a_node_started_again_asks_anew(
+def test_a_restarted_publisher_continues_and_a_restarted_node_subscribes_again(
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
-        async with story(tmp_path) as told:
-            machines = told.machines
-            await told.restart_publisher()
-            await told.change_to(1)
-            await told.served_by("s-1")
-            await told.callers.stop()
+        async with scenario_with_callers(tmp_path) as scenario:
+            machines = scenario.machines
+            await scenario.restart_publisher()
+            await scenario.change_server(1)
+            await scenario.wait_served_by("s-1")
+            await scenario.callers.stop()
             await asyncio.to_thread(machines.nodes["n1"].stop)
             await asyncio.to_thread(machines.nodes["n1"].start)
-            caller = told.side.caller(machines.nodes["n1"].port, "after")
+            caller = scenario.side.caller(machines.nodes["n1"].port, "after")
             assert await caller.ask("balance") is End.SERVED
-            await told.change_to(2)
-            rollout = await told.complete()
+            await scenario.change_server(2)
+            rollout = await scenario.wait_complete()
             assert rollout["nodes"]["have"] == 3
-        told.check()
+        scenario.check()
 
     asyncio.run(main())
 
 
-def test_a_node_without_any_way_gets_a_change_when_one_is_back_and_the_others_at_once(
+def test_an_unreachable_node_applies_a_change_on_reconnect_and_the_others_at_once(
     tmp_path: Path,
 ) -> None:
-    """Its distributor is killed while its way to the other one is cut."""
+    """The distributor of the node is killed while its link to the other distributor is cut."""
 
     async def main() -> None:
-        async with story(tmp_path) as told:
-            machines = told.machines
-            name = await told.distributor_of("n0")
+        async with scenario_with_callers(tmp_path) as scenario:
+            machines = scenario.machines
+            name = await scenario.distributor_of("n0")
             machines.cut_node_off("n0", machines.other_distributor(name))
             await kill(machines, name)
-            await told.change_to(1)
-            await told.served_by("s-1", ["n1", "n2"])
-            async with asyncio.timeout(LIMIT_S):
-                while (await told.status("n0"))["link"] == "up":
+            await scenario.change_server(1)
+            await scenario.wait_served_by("s-1", ["n1", "n2"])
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                while (await scenario.status("n0"))["link"] == "up":
                     await asyncio.sleep(0.1)
-            await told.served_on(100)
-            assert told.callers.last_ran["n0"] == "s-0"
+            await scenario.wait_for_requests(100)
+            assert scenario.callers.last_ran["n0"] == "s-0"
             machines.heal()
-            await told.served_by("s-1")
-            assert (await told.complete())["nodes"] == {"have": 3, "waiting": 0, "refused": 0}
-        told.check()
+            await scenario.wait_served_by("s-1")
+            assert (await scenario.wait_complete())["nodes"] == {
+                "have": 3,
+                "waiting": 0,
+                "refused": 0,
+            }
+        scenario.check()
 
     asyncio.run(main())
 
 
-def test_a_change_gets_through_while_a_distributor_is_stopped_and_the_publisher_starts_again(
+def test_a_change_is_applied_while_a_distributor_is_stopped_and_the_publisher_restarts(
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
-        async with story(tmp_path) as told:
-            name = await told.distributor_of("n0")
-            await stop(told.machines, name)
-            await told.restart_publisher()
-            await told.change_to(1)
-            await told.served_by("s-1")
-            told.machines.distributors[name].go_on()
-            await told.change_to(2)
-            await told.served_by("s-2")
-            assert (await told.complete())["nodes"]["have"] == 3
-        told.check()
+        async with scenario_with_callers(tmp_path) as scenario:
+            name = await scenario.distributor_of("n0")
+            await stop(scenario.machines, name)
+            await scenario.restart_publisher()
+            await scenario.change_server(1)
+            await scenario.wait_served_by("s-1")
+            scenario.machines.distributors[name].go_on()
+            await scenario.change_server(2)
+            await scenario.wait_served_by("s-2")
+            assert (await scenario.wait_complete())["nodes"]["have"] == 3
+        scenario.check()
 
     asyncio.run(main())
 
 
-def test_a_change_gets_through_while_a_nodes_agent_and_its_distributor_are_killed(
+def test_a_change_is_applied_after_the_agent_of_a_node_and_its_distributor_are_killed(
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
-        async with story(tmp_path) as told:
-            name = await told.distributor_of("n0")
-            node = told.machines.nodes["n0"]
+        async with scenario_with_callers(tmp_path) as scenario:
+            name = await scenario.distributor_of("n0")
+            node = scenario.machines.nodes["n0"]
             await asyncio.gather(
-                kill(told.machines, name),
+                kill(scenario.machines, name),
                 asyncio.to_thread(os.kill, node.pid("agent"), signal.SIGKILL),
             )
-            await told.change_to(1)
-            await told.served_by("s-1")
-        told.check()
+            await scenario.change_server(1)
+            await scenario.wait_served_by("s-1")
+        scenario.check()
 
     asyncio.run(main())
 
 
-def test_a_region_that_is_cut_off_serves_on_tells_its_age_and_takes_up_what_it_missed(
+def test_an_isolated_region_keeps_serving_reports_its_age_and_applies_missed_changes(
     tmp_path: Path,
 ) -> None:
-    """A distributor and two nodes reach one another alone."""
+    """A distributor and two nodes reach only one another."""
 
     async def main() -> None:
-        async with story(tmp_path) as told:
-            machines = told.machines
+        async with scenario_with_callers(tmp_path) as scenario:
+            machines = scenario.machines
             region = ["n0", "n1"]
-            inside = await told.distributor_of("n0")
+            inside = await scenario.distributor_of("n0")
             machines.cut_region_off(inside, region)
-            await told.change_to(1)
-            await told.served_by("s-1", ["n2"])
-            async with asyncio.timeout(LIMIT_S):
+            await scenario.change_server(1)
+            await scenario.wait_served_by("s-1", ["n2"])
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 for node in region:
-                    while (await told.status(node))["age_ms"] < 3_000:
+                    while (await scenario.status(node))["age_ms"] < 3_000:
                         await asyncio.sleep(0.1)
-            await told.served_on(100)
-            assert {told.callers.last_ran[node] for node in region} == {"s-0"}
-            rollout = await told.call("GET", f"/v1/tenants/{TENANT}/rollout")
+            await scenario.wait_for_requests(100)
+            assert {scenario.callers.last_ran[node] for node in region} == {"s-0"}
+            rollout = await scenario.call("GET", f"/v1/tenants/{TENANT}/rollout")
             assert not rollout["complete"] and rollout["distributors"]["waiting"] == [inside]
             machines.heal()
-            await told.served_by("s-1")
-            assert (await told.complete())["nodes"] == {"have": 3, "waiting": 0, "refused": 0}
-            async with asyncio.timeout(LIMIT_S):
-                while (await told.status("n0"))["age_ms"] >= 3_000:
+            await scenario.wait_served_by("s-1")
+            assert (await scenario.wait_complete())["nodes"] == {
+                "have": 3,
+                "waiting": 0,
+                "refused": 0,
+            }
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                while (await scenario.status("n0"))["age_ms"] >= 3_000:
                     await asyncio.sleep(0.1)
-        told.check()
+        scenario.check()
 
     asyncio.run(main())
 
 
-def written_by_a_later_version(store: Path, over: dict[str, Any]) -> None:
-    """Change the tenant's document on the disk of a publisher that is not running: a version whose
-    checks let pass what these nodes can't go by would have left it so."""
+def write_as_later_version(store: Path, over: dict[str, Any]) -> None:
+    """Change the tenant's document in the store of a stopped publisher.
+
+    The result is what a later version would write whose checks accept a document that the nodes of
+    this version refuse.
+    """
     opened = Store.open(store)
     try:
         rows = dict(opened.scan(b"", b"\xff"))
@@ -376,49 +388,55 @@
         opened.close()
 
 
-def test_what_nodes_cant_put_into_force_is_refused_by_name_and_the_last_good_is_served(
+def test_a_view_that_nodes_refuse_is_reported_by_node_and_the_previous_view_stays_applied(
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
-        async with story(tmp_path) as told:
-            publisher = told.machines.publisher
+        async with scenario_with_callers(tmp_path) as scenario:
+            publisher = scenario.machines.publisher
             await asyncio.to_thread(publisher.stop)
             classes = [row | {"aim_ms": 0} for row in PATIENT]
             await asyncio.to_thread(
-                written_by_a_later_version, publisher.folder / "state", {"classes": classes}
+                write_as_later_version, publisher.folder / "state", {"classes": classes}
             )
-            await told.machines.start_publisher()
-            told.operator = publisher.operator()
-            rollout = await told.refused(3)
+            await scenario.machines.start_publisher()
+            scenario.operator = publisher.operator()
+            rollout = await scenario.wait_refused(3)
             assert not rollout["complete"]
             assert {row["node"] for row in rollout["refusing"]} == {"n0", "n1", "n2"}
             assert all("needs an aim" in row["why"] for row in rollout["refusing"])
             assert rollout["nodes"] == {"have": 0, "waiting": 0, "refused": 3}
-            status = await told.status("n0")
+            status = await scenario.status("n0")
             assert status["tenants"] == 1
             assert ["needs an aim" in why for why in status["refused_views"].values()] == [True]
-            await told.served_on(100)
-            await told.change_to(1)
-            await told.served_by("s-1")
-            assert (await told.complete())["nodes"] == {"have": 3, "waiting": 0, "refused": 0}
-            assert not (await told.status("n0"))["refused_views"]
-        told.check()
+            await scenario.wait_for_requests(100)
+            await scenario.change_server(1)
+            await scenario.wait_served_by("s-1")
+            assert (await scenario.wait_complete())["nodes"] == {
+                "have": 3,
+                "waiting": 0,
+                "refused": 0,
+            }
+            assert not (await scenario.status("n0"))["refused_views"]
+        scenario.check()
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("part", ["agent", "door", "worker-0"])
-def test_a_part_of_a_node_is_killed_and_its_tenant_is_served_on(tmp_path: Path, part: str) -> None:
-    """What was under way in a worker that is killed is its callers' to ask again."""
+def test_a_tenant_is_still_served_after_a_process_of_a_node_is_killed(
+    tmp_path: Path, part: str
+) -> None:
+    """Requests in flight in a killed worker may fail; their callers retry them."""
 
     async def main() -> None:
-        async with story(tmp_path) as told:
-            node = told.machines.nodes["n0"]
+        async with scenario_with_callers(tmp_path) as scenario:
+            node = scenario.machines.nodes["n0"]
             before = node.pid(part)
             os.kill(before, signal.SIGKILL)
             await asyncio.to_thread(node.until_ready_again, part, before)
-            await told.change_to(1)
-            await told.served_by("s-1")
-        assert not told.side.ledger.problems(breaks=True)
+            await scenario.change_server(1)
+            await scenario.wait_served_by("s-1")
+        assert not scenario.side.ledger.problems(breaks=True)
 
     asyncio.run(main())
