--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""One owner for each descriptor: no second close, no leak, no look at a stranger's."""
+"""Each descriptor has one owner: none is leaked, closed twice, or used after its close."""
 
 from __future__ import annotations
 
@@ -26,282 +26,297 @@
 from .inside import InProcessNode, in_process_node
 
 
-class Strangers:
-    """Descriptors that somebody else has by now; each must outlive the node's mistakes."""
+class ForeignDescriptors:
+    """Open descriptors with numbers that the node has closed; it must not close them too."""
 
     def __init__(self, count: int = 32) -> None:
-        self.numbers = [os.open("/dev/null", os.O_RDONLY) for _ in range(count)]
+        self.descriptors = [os.open("/dev/null", os.O_RDONLY) for _ in range(count)]
 
     def check(self) -> None:
-        gone = []
-        for number in self.numbers:
+        """Close the descriptors; fails if one was already closed by somebody else."""
+        closed = []
+        for descriptor in self.descriptors:
             try:
-                os.close(number)
+                os.close(descriptor)
             except OSError as err:
                 assert err.errno == errno.EBADF
-                gone.append(number)
-        assert not gone, f"closed behind their owner's back: {gone}"
+                closed.append(descriptor)
+        assert not closed, f"closed by another owner: {closed}"
 
 
-def attempt(one: InProcessNode) -> Attempt:
-    """A probe's attempt: it needs no request and has one outcome like any other."""
-    a = Attempt(None, 0, next(iter(one.node.discovery.backend_list.endpoints)), time.monotonic_ns())
-    a.timeout = 10_000_000_000
-    return a
+def probe_attempt(in_process: InProcessNode) -> Attempt:
+    """Build a health probe's attempt, which needs no request and has one outcome like any other."""
+    attempt = Attempt(
+        None, 0, next(iter(in_process.node.discovery.backend_list.endpoints)), time.monotonic_ns()
+    )
+    attempt.timeout = 10_000_000_000
+    return attempt
 
 
-def dialled(
-    one: InProcessNode,
+def send_attempt(
+    in_process: InProcessNode,
     monkeypatch: pytest.MonkeyPatch,
-    made: Callable[[BackendConnection, Any], None],
+    before_connection_made: Callable[[BackendConnection, Any], None],
 ) -> tuple[list[BackendConnection], Attempt]:
-    """Send one attempt; `made` stands before what connection_made does."""
-    conns: list[BackendConnection] = []
-    inner = BackendConnection.connection_made
+    """Send one attempt; `before_connection_made` runs before each connection_made."""
+    connections: list[BackendConnection] = []
+    original = BackendConnection.connection_made
 
     def connection_made(self: BackendConnection, transport: Any) -> None:
-        conns.append(self)  # kept: whatever it holds goes when the test says so
-        made(self, transport)
-        inner(self, transport)
+        connections.append(self)  # keeps what the connection holds until the test clears the list
+        before_connection_made(self, transport)
+        original(self, transport)
 
     monkeypatch.setattr(BackendConnection, "connection_made", connection_made)
-    a = attempt(one)
+    attempt = probe_attempt(in_process)
 
     async def drive() -> None:
-        one.node.upstream.send(a)
-        await one.wait_until(lambda: a.concluded)
-        await one.wait_until(lambda: not one.node.upstream.descriptor_count)
-        await one.run_loop_turns()
+        in_process.node.upstream.send(attempt)
+        await in_process.wait_until(lambda: attempt.concluded)
+        await in_process.wait_until(lambda: not in_process.node.upstream.descriptor_count)
+        await in_process.run_loop_turns()
 
-    one.run(drive())
-    return conns, a
+    in_process.run(drive())
+    return connections, attempt
 
 
 def reset_and_wait(backend: socket.socket, transport: Any) -> None:
-    """The server resets; return when the kernel on the node's side knows."""
+    """Reset the connection from the backend; returns when the node's kernel has seen the reset."""
     accept(backend).reset()
-    number = transport.get_extra_info("socket").fileno()
-    with socket.socket(fileno=os.dup(number)) as twin:
-        twin.setblocking(True)
+    descriptor = transport.get_extra_info("socket").fileno()
+    with socket.socket(fileno=os.dup(descriptor)) as duplicate:
+        duplicate.setblocking(True)
         with pytest.raises(ConnectionError):
-            while twin.recv(1):
+            while duplicate.recv(1):
                 pass
 
 
-def test_a_reset_before_the_first_write_closes_no_strangers_descriptor(
+def test_a_reset_before_the_first_write_closes_no_foreign_descriptor(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The transport was lost before the loop had tied the dial's socket to it: the socket
-    kept a number that was closed already, and closed it again when it was collected."""
+    """The transport is lost before the event loop has tied the dial's socket to it.
+
+    The socket then keeps a descriptor number that is already closed, and would close it again
+    when the socket is garbage-collected.
+    """
     with (
         listen() as backend,
-        in_process_node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as one,
+        in_process_node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as in_process,
     ):
-        conns, _ = dialled(one, monkeypatch, lambda _conn, t: reset_and_wait(backend, t))
-        strangers = Strangers()
-        conns.clear()
+        connections, _ = send_attempt(
+            in_process, monkeypatch, lambda _conn, transport: reset_and_wait(backend, transport)
+        )
+        foreign = ForeignDescriptors()
+        connections.clear()
         gc.collect()
-        strangers.check()
+        foreign.check()
 
 
-def test_a_dial_given_up_as_its_news_arrives_closes_no_strangers_descriptor(
+def test_an_attempt_cancelled_as_its_dial_completes_closes_no_foreign_descriptor(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The node cancels the attempt inside the callback that reports the new connection."""
     with (
         listen() as backend,
-        in_process_node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as one,
+        in_process_node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as in_process,
     ):
 
         def give_up(conn: BackendConnection, _transport: Any) -> None:
             assert conn.attempt is not None
-            one.node.give_up(conn.attempt, Outcome.CANCELLED)
+            in_process.node.give_up(conn.attempt, Outcome.CANCELLED)
 
-        conns, _ = dialled(one, monkeypatch, give_up)
-        strangers = Strangers()
-        conns.clear()
+        connections, _ = send_attempt(in_process, monkeypatch, give_up)
+        foreign = ForeignDescriptors()
+        connections.clear()
         gc.collect()
-        strangers.check()
+        foreign.check()
         accept(backend).close()
 
 
 @pytest.mark.parametrize("turns", range(8))
-def test_a_dial_given_up_after_any_number_of_turns_is_counted_out_once(
+def test_a_dial_given_up_after_any_number_of_loop_turns_is_uncounted_once(
     tmp_path: Path, turns: int
 ) -> None:
     with (
         listen() as backend,
-        in_process_node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as one,
+        in_process_node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as in_process,
     ):
-        a = attempt(one)
+        attempt = probe_attempt(in_process)
 
         async def drive() -> None:
-            one.node.upstream.send(a)
-            await one.run_loop_turns(turns)
-            one.node.give_up(a, Outcome.TIMEOUT)
-            await one.wait_until(lambda: not one.node.upstream.descriptor_count)
-            await one.run_loop_turns()
-
-        one.run(drive())
-        strangers = Strangers()
+            in_process.node.upstream.send(attempt)
+            await in_process.run_loop_turns(turns)
+            in_process.node.give_up(attempt, Outcome.TIMEOUT)
+            await in_process.wait_until(lambda: not in_process.node.upstream.descriptor_count)
+            await in_process.run_loop_turns()
+
+        in_process.run(drive())
+        foreign = ForeignDescriptors()
         gc.collect()
-        strangers.check()
-        assert one.node.upstream.descriptor_count == 0 and not one.node.unexpected_error_count
+        foreign.check()
+        assert (
+            in_process.node.upstream.descriptor_count == 0
+            and not in_process.node.unexpected_error_count
+        )
 
 
-def test_a_loop_that_was_late_does_not_take_a_finished_dial_for_a_failed_one(
+def test_a_late_event_loop_does_not_fail_an_established_dial(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The dial's time is up before the loop has looked at what the kernel finished long ago."""
+    """The dial times out before the loop has polled a connection that the kernel established."""
     with (
         listen() as backend,
-        in_process_node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as one,
+        in_process_node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as in_process,
     ):
-        a = attempt(one)
-        a_conn: list[BackendConnection] = []
+        attempt = probe_attempt(in_process)
+        connections: list[BackendConnection] = []
 
         async def drive() -> None:
-            one.node.upstream.send(a)
-            assert isinstance(a.connection, BackendConnection)
-            a_conn.append(a.connection)
-            await one.run_loop_turns(2)  # connecting, and not told yet
-            dial_timeout = one.config.settings.connect_timeout / 1e9
+            in_process.node.upstream.send(attempt)
+            assert isinstance(attempt.connection, BackendConnection)
+            connections.append(attempt.connection)
+            # The dial is connecting, and the loop has not reported the connection yet.
+            await in_process.run_loop_turns(2)
+            dial_timeout = in_process.config.settings.connect_timeout / 1e9
             time.sleep(dial_timeout * 1.5)
-            await one.wait_until(lambda: a_conn[0].transport is not None or a.concluded)
-            await one.run_loop_turns()
+            await in_process.wait_until(
+                lambda: connections[0].transport is not None or attempt.concluded
+            )
+            await in_process.run_loop_turns()
 
         monkeypatch.setattr(
             "windrelay.upstream.BackendConnection._write_request", lambda self: None
         )
-        one.run(drive())
-        assert not a.concluded and a_conn[0].transport is not None
-        one.run(asyncio.sleep(0))
-        one.node.give_up(a, Outcome.CANCELLED)
+        in_process.run(drive())
+        assert not attempt.concluded and connections[0].transport is not None
+        in_process.run(asyncio.sleep(0))
+        in_process.node.give_up(attempt, Outcome.CANCELLED)
 
 
-def test_a_glance_never_closes() -> None:
+def test_a_socket_view_never_closes_its_descriptor() -> None:
     left, right = socket.socketpair()
-    number = left.fileno()
+    descriptor = left.fileno()
 
     class Transport(asyncio.BaseTransport):
         def get_extra_info(self, name: str, default: Any = None) -> Any:
             return left
 
-    for end in (SocketView.release, SocketView.close, lambda _: None):
-        glance = SocketView(Transport())
-        assert glance.fileno() == number
-        end(glance)
-        del glance
+    for end_view in (SocketView.release, SocketView.close, lambda _: None):
+        view = SocketView(Transport())
+        assert view.fileno() == descriptor
+        end_view(view)
+        del view
         gc.collect()
-        os.fstat(number)
+        os.fstat(descriptor)
     left.close()
     right.close()
 
 
-def test_a_welcome_that_fails_at_once_leaks_nothing(
+def test_an_accepted_socket_that_the_loop_rejects_is_closed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The loop had not taken the number yet: nobody but us can close it."""
-    with in_process_node(tmp_path, roster()) as one:
-        port = one.server.listen(one.config.listen)
-        tried: list[socket.socket] = []
-        before = len(os.listdir("/proc/self/fd"))
+    """The loop has not taken the descriptor over, so only the node can close it."""
+    with in_process_node(tmp_path, roster()) as in_process:
+        port = in_process.server.listen(in_process.config.listen)
+        accepted: list[socket.socket] = []
+        descriptors_before = len(os.listdir("/proc/self/fd"))
 
-        class Loop:
-            """The node's loop, but for taking over sockets."""
+        class FailingLoop:
+            """The node's event loop, except that it fails to take over accepted sockets."""
 
             def __getattr__(self, name: str) -> Any:
-                return getattr(one.loop, name)
+                return getattr(in_process.loop, name)
 
             async def connect_accepted_socket(self, _factory: Any, sock: socket.socket) -> None:
-                tried.append(sock)
+                accepted.append(sock)
                 raise OSError(errno.EEXIST, "File exists")
 
-        one.node.loop = Loop()  # type: ignore[assignment]
+        in_process.node.loop = FailingLoop()  # type: ignore[assignment]
 
         async def drive() -> None:
             client = socket.create_connection(("127.0.0.1", port))
             client.sendall(request())
-            await one.wait_until(lambda: tried)
-            await one.wait_until(lambda: not one.node.client_count)
+            await in_process.wait_until(lambda: accepted)
+            await in_process.wait_until(lambda: not in_process.node.client_count)
             client.close()
 
-        one.run(drive())
-        one.node.loop = one.loop
-        assert tried[0].fileno() == -1
-        tried.clear()
-        assert len(os.listdir("/proc/self/fd")) == before
+        in_process.run(drive())
+        in_process.node.loop = in_process.loop
+        assert accepted[0].fileno() == -1
+        accepted.clear()
+        assert len(os.listdir("/proc/self/fd")) == descriptors_before
 
 
-@pytest.mark.parametrize("number", sorted(windrelay_server.ACCEPT_RETRY_ERRNOS))
-def test_an_error_of_one_waiting_connection_hides_none_behind_it(
-    tmp_path: Path, number: int
+@pytest.mark.parametrize("error_number", sorted(windrelay_server.ACCEPT_RETRY_ERRNOS))
+def test_an_accept_error_of_one_connection_does_not_block_the_next(
+    tmp_path: Path, error_number: int
 ) -> None:
-    """accept passes on what is wrong with the one it took; the listener is sound."""
-    with in_process_node(tmp_path, roster()) as one:
-        port = one.server.listen(one.config.listen)
-        real: Any = one.server._listener
-        left = [OSError(number, os.strerror(number))] * 3
+    """accept reports an error of the connection that it took; the listener itself is sound."""
+    with in_process_node(tmp_path, roster()) as in_process:
+        port = in_process.server.listen(in_process.config.listen)
+        real_listener: Any = in_process.server._listener
+        errors_left = [OSError(error_number, os.strerror(error_number))] * 3
 
         class Listener:
             def accept(self) -> Any:
-                if left:
-                    raise left.pop()
-                return real.accept()
+                if errors_left:
+                    raise errors_left.pop()
+                return real_listener.accept()
 
-        one.server._listener = Listener()  # type: ignore[assignment]
+        in_process.server._listener = Listener()  # type: ignore[assignment]
 
         async def drive() -> None:
             client = socket.create_connection(("127.0.0.1", port))
-            await one.wait_until(lambda: one.server.connections)
+            await in_process.wait_until(lambda: in_process.server.connections)
             client.close()
 
-        one.run(drive())
-        one.server._listener = real
-        assert not one.server._accept_paused
+        in_process.run(drive())
+        in_process.server._listener = real_listener
+        assert not in_process.server._accept_paused
 
 
 @pytest.mark.parametrize("turns", range(6))
-def test_a_welcome_cancelled_after_any_number_of_turns_leaks_nothing(
+def test_an_accept_task_cancelled_after_any_number_of_loop_turns_leaks_nothing(
     tmp_path: Path, turns: int
 ) -> None:
-    with in_process_node(tmp_path, roster()) as one:
-        port = one.server.listen(one.config.listen)
+    with in_process_node(tmp_path, roster()) as in_process:
+        port = in_process.server.listen(in_process.config.listen)
 
         async def drive() -> None:
             client = socket.create_connection(("127.0.0.1", port))
-            one.server._accept()  # now, not when the loop gets to it: the turns are counted
-            tasks = list(one.server._accept_tasks)
+            in_process.server._accept()  # directly: the loop turns are counted from here
+            tasks = list(in_process.server._accept_tasks)
             assert tasks
-            await one.run_loop_turns(turns)
+            await in_process.run_loop_turns(turns)
             for task in tasks:
                 task.cancel()
-            await one.wait_until(lambda: not one.server._accept_tasks)
+            await in_process.wait_until(lambda: not in_process.server._accept_tasks)
             client.close()
-            await one.wait_until(lambda: not one.node.client_count)
+            await in_process.wait_until(lambda: not in_process.node.client_count)
 
-        one.run(drive())
-        strangers = Strangers()
+        in_process.run(drive())
+        foreign = ForeignDescriptors()
         gc.collect()
-        strangers.check()
-        assert one.node.client_count == 0 and not one.node.unexpected_error_count
+        foreign.check()
+        assert in_process.node.client_count == 0 and not in_process.node.unexpected_error_count
 
 
 @pytest.mark.parametrize("turns", range(8))
-def test_a_call_of_the_list_dropped_after_any_number_of_turns_leaks_nothing(
+def test_a_registry_call_aborted_after_any_number_of_loop_turns_leaks_nothing(
     tmp_path: Path, turns: int
 ) -> None:
-    with listen() as service, in_process_node(tmp_path, roster()) as one:
-        ended: list[object] = []
+    with listen() as registry, in_process_node(tmp_path, roster()) as in_process:
+        results: list[object] = []
 
         async def drive() -> None:
-            address = Address("127.0.0.1", service.getsockname()[1])
-            call = RegistryCall(address, "/registry/instances", 5.0, ended.append)
-            await one.run_loop_turns(turns)
+            address = Address("127.0.0.1", registry.getsockname()[1])
+            call = RegistryCall(address, "/registry/instances", 5.0, results.append)
+            await in_process.run_loop_turns(turns)
             call.abort()
-            await one.run_loop_turns()
+            await in_process.run_loop_turns()
 
-        one.run(drive())
-        strangers = Strangers()
+        in_process.run(drive())
+        foreign = ForeignDescriptors()
         gc.collect()
-        strangers.check()
-        assert not ended and not one.node.unexpected_error_count
+        foreign.check()
+        assert not results and not in_process.node.unexpected_error_count
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""What the pool learns about idle connections, without sockets where none are needed."""
+"""The idle timeout that the connection pool learns, and its choice of an idle connection."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 import pytest
 
 from windrelay.upstream import (
-    LEARN_PAUSE_NS,
-    LEAST_LIMIT_NS,
+    GROWTH_DELAY_NS,
+    MIN_LEARNED_TIMEOUT_NS,
     MS,
-    SETTLED_NS,
+    SETTLED_IDLE_NS,
     AdaptiveIdleTimeout,
     HttpConnectionPool,
 )
@@ -24,91 +24,93 @@
 SECOND = 1_000_000_000
 
 
-def test_one_backend_alone_teaches_nothing() -> None:
-    limit = AdaptiveIdleTimeout(58 * SECOND)
-    limit.broke(SECOND, 1, 200 * MS)
-    limit.broke(SECOND, 1, 100 * MS)
-    limit.broke(20 * SECOND, 2, 100 * MS)  # the other's breaks are long past
-    assert limit.timeout_ns == 58 * SECOND
+def test_breaks_of_a_single_backend_do_not_shorten_the_idle_timeout() -> None:
+    idle_timeout = AdaptiveIdleTimeout(58 * SECOND)
+    idle_timeout.record_break(SECOND, 1, 200 * MS)
+    idle_timeout.record_break(SECOND, 1, 100 * MS)
+    idle_timeout.record_break(20 * SECOND, 2, 100 * MS)  # other breaks are out of the window
+    assert idle_timeout.timeout_ns == 58 * SECOND
 
 
-def test_breaks_of_any_age_teach_nothing() -> None:
-    """A network that breaks connections at random is no reason to dial for each request."""
-    limit = AdaptiveIdleTimeout(58 * SECOND)
+def test_breaks_after_any_idle_time_do_not_shorten_the_idle_timeout() -> None:
+    """A network that breaks connections at random must not cause a dial for every request."""
+    idle_timeout = AdaptiveIdleTimeout(58 * SECOND)
     for i in range(60):
-        limit.held(SECOND, 10 * MS * i)
+        idle_timeout.record_success(SECOND, 10 * MS * i)
         if i % 3 == 0:
-            limit.broke(SECOND, i, 10 * MS * (i // 2))
-    assert limit.timeout_ns == 58 * SECOND
+            idle_timeout.record_break(SECOND, i, 10 * MS * (i // 2))
+    assert idle_timeout.timeout_ns == 58 * SECOND
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_breaks_by_chance_teach_nothing(seed: int) -> None:
-    """One use in twenty breaks, whatever its rest: the two longest of the last do at times."""
-    limit = AdaptiveIdleTimeout(58 * SECOND)
+def test_rare_random_breaks_do_not_shorten_the_idle_timeout(seed: int) -> None:
+    """One reuse in twenty breaks by chance, which at times hits the two longest idle times."""
+    idle_timeout = AdaptiveIdleTimeout(58 * SECOND)
     rng = Random(seed)
     for i in range(20_000):
-        rest = int(rng.expovariate(1 / 20.0) * MS) + 1
+        idle_ns = int(rng.expovariate(1 / 20.0) * MS) + 1
         if rng.random() < 0.05:
-            limit.broke(i * 4 * MS, rng.randrange(10), rest)
+            idle_timeout.record_break(i * 4 * MS, rng.randrange(10), idle_ns)
         else:
-            limit.held(i * 4 * MS, rest)
-    assert limit.timeout_ns == 58 * SECOND
+            idle_timeout.record_success(i * 4 * MS, idle_ns)
+    assert idle_timeout.timeout_ns == 58 * SECOND
 
 
-def test_a_limit_is_learnt_through_breaks_by_chance() -> None:
-    """Whatever rests for 100 ms breaks, and one use in twenty of the others."""
-    limit = AdaptiveIdleTimeout(58 * SECOND)
+def test_the_idle_timeout_is_learned_despite_random_breaks() -> None:
+    """Connections idle for more than 100 ms break, and one reuse in twenty of the others."""
+    idle_timeout = AdaptiveIdleTimeout(58 * SECOND)
     rng = Random(1)
     for i in range(1000):
-        rest = int(rng.expovariate(1 / 80.0) * MS) + 1
-        if rest > limit.timeout_ns:
-            continue  # is not used
-        if rest > 100 * MS or rng.random() < 0.05:
-            limit.broke(i * 20 * MS, rng.randrange(10), rest)
+        idle_ns = int(rng.expovariate(1 / 80.0) * MS) + 1
+        if idle_ns > idle_timeout.timeout_ns:
+            continue  # the pool would not reuse it
+        if idle_ns > 100 * MS or rng.random() < 0.05:
+            idle_timeout.record_break(i * 20 * MS, rng.randrange(10), idle_ns)
         else:
-            limit.held(i * 20 * MS, rest)
-    assert 60 * MS < limit.timeout_ns < 150 * MS
+            idle_timeout.record_success(i * 20 * MS, idle_ns)
+    assert 60 * MS < idle_timeout.timeout_ns < 150 * MS
 
 
-def test_no_limit_is_learnt_below_what_a_rest_can_mean() -> None:
-    """Closed right behind an answer: that is no matter of how long it rested."""
-    limit = AdaptiveIdleTimeout(58 * SECOND)
+def test_closes_right_after_a_response_do_not_lower_the_timeout_below_its_minimum() -> None:
+    """A backend that closes right behind each response does not do so because of idle time."""
+    idle_timeout = AdaptiveIdleTimeout(58 * SECOND)
     for i in range(40):
-        limit.broke(i * MS, i % 5, 2 * MS)
-    assert limit.timeout_ns == LEAST_LIMIT_NS
-
-
-def test_two_backends_teach_a_limit_that_is_forgotten_slowly() -> None:
-    limit = AdaptiveIdleTimeout(58 * SECOND)
-    limit.broke(SECOND, 1, 200 * MS)
-    limit.broke(SECOND, 2, 100 * MS)
-    assert limit.timeout_ns == 70 * MS
-    limit.sweep(SECOND + LEARN_PAUSE_NS - 1)
-    assert limit.timeout_ns == 70 * MS
-    now = SECOND + LEARN_PAUSE_NS
+        idle_timeout.record_break(i * MS, i % 5, 2 * MS)
+    assert idle_timeout.timeout_ns == MIN_LEARNED_TIMEOUT_NS
+
+
+def test_an_idle_timeout_learned_from_two_backends_grows_back_slowly() -> None:
+    idle_timeout = AdaptiveIdleTimeout(58 * SECOND)
+    idle_timeout.record_break(SECOND, 1, 200 * MS)
+    idle_timeout.record_break(SECOND, 2, 100 * MS)
+    assert idle_timeout.timeout_ns == 70 * MS
+    idle_timeout.grow_if_due(SECOND + GROWTH_DELAY_NS - 1)
+    assert idle_timeout.timeout_ns == 70 * MS
+    now = SECOND + GROWTH_DELAY_NS
     for _ in range(30):
-        limit.sweep(now)
+        idle_timeout.grow_if_due(now)
         now += 60 * SECOND
-    assert limit.timeout_ns == 58 * SECOND
-
-
-def test_idle_connections_that_break_under_a_request_are_no_longer_used(tmp_path: Path) -> None:
-    """Backends that forget idle connections cost a request each, once, and no more."""
-    with listen() as one, listen() as two:
-        known = roster(target("s-1", one.getsockname()[1]), target("s-2", two.getsockname()[1]))
-        with node(tmp_path, known) as n:
-            clients = [n.connect(), n.connect()]
-            for i, client in enumerate(clients):  # together, so that each backend gets one
+    assert idle_timeout.timeout_ns == 58 * SECOND
+
+
+def test_connections_idle_past_the_learned_timeout_are_not_reused(tmp_path: Path) -> None:
+    """Two backends that drop idle connections fail one request each, and none after that."""
+    with listen() as first, listen() as second:
+        initial_list = roster(
+            target("s-1", first.getsockname()[1]), target("s-2", second.getsockname()[1])
+        )
+        with node(tmp_path, initial_list) as running:
+            clients = [running.connect(), running.connect()]
+            for i, client in enumerate(clients):  # at the same time, so that each backend gets one
                 client.send(request("/credit/1", b"x", rid=f"a{i}"))
-            peers = [accept(one), accept(two)]
-            idle_from = time.monotonic()
+            peers = [accept(first), accept(second)]
+            idle_since_s = time.monotonic()
             for peer in peers:
                 peer.message()
                 peer.send(answer(b"1"))
             for client in clients:
                 client.message()
-            time.sleep(0.1)  # the longer, the surer: nothing else hangs on it
+            time.sleep(0.1)  # a longer wait makes the test more reliable and changes nothing else
             for i, client in enumerate(clients):
                 client.send(request("/credit/1", b"x", rid=f"b{i}"))
             for peer in peers:
@@ -116,35 +118,39 @@
                 peer.reset()
             for client in clients:
                 assert client.message()[0].split(" ")[1] == "502"
-            learnt = time.monotonic() - idle_from
+            learned_s = time.monotonic() - idle_since_s
             client = clients[0]
             client.send(request("/credit/1", b"x", rid="c"))
-            server = select.select([one, two], [], [], HANG_TIMEOUT_S)[0][0]
-            peer = accept(server)
+            ready_listener = select.select([first, second], [], [], HANG_TIMEOUT_S)[0][0]
+            peer = accept(ready_listener)
             peer.message()
             peer.send(answer(b"2"))
             client.message()
-            time.sleep(2 * learnt)
+            time.sleep(2 * learned_s)
             client.send(request("/credit/1", b"x", rid="d"))
-            fresh = accept(select.select([one, two], [], [], HANG_TIMEOUT_S)[0][0])
-            assert fresh.message()[1]["x-request-id"] == "d"
-            fresh.send(answer(b"3"))
+            new_peer = accept(select.select([first, second], [], [], HANG_TIMEOUT_S)[0][0])
+            assert new_peer.message()[1]["x-request-id"] == "d"
+            new_peer.send(answer(b"3"))
             assert client.message()[2] == b"3"
             assert peer.read_to_end() == b""
 
 
-class Idle:
-    """As much of an idle connection as the pool looks at."""
+class IdleConnection:
+    """The part of an idle connection that the pool reads."""
 
     def __init__(self, since: int) -> None:
         self.idle_since = since
 
 
-def test_a_connection_fresh_from_its_answer_is_spared_where_another_has_rested() -> None:
-    """Its backend may be closing it: the end comes just behind the answer."""
+def test_a_connection_fresh_from_its_response_is_taken_after_settled_ones() -> None:
+    """Its backend may be closing it, and the close would arrive just behind the response."""
     pool: Any = HttpConnectionPool.__new__(HttpConnectionPool)
-    old, rested, fresh = Idle(1), Idle(SECOND - SETTLED_NS), Idle(SECOND - 1)
-    pool.idle = {7: [old, rested, fresh]}
-    pool.by_age = {old: None, rested: None, fresh: None}
-    assert [pool.pop(7, SECOND) for _ in range(4)] == [rested, old, fresh, None]
-    assert not pool.idle and not pool.by_age
+    old, settled, fresh = (
+        IdleConnection(1),
+        IdleConnection(SECOND - SETTLED_IDLE_NS),
+        IdleConnection(SECOND - 1),
+    )
+    pool.idle_by_backend = {7: [old, settled, fresh]}
+    pool.idle_by_age = {old: None, settled: None, fresh: None}
+    assert [pool.take_idle(7, SECOND) for _ in range(4)] == [settled, old, fresh, None]
+    assert not pool.idle_by_backend and not pool.idle_by_age
--- a/windrelay/interfaces.py
+++ b/windrelay/interfaces.py
@@ -1,9 +1,9 @@
-"""What the node asks of whoever asks it, carries for it, and tells it of servers.
+"""Interfaces between the node and the parts around it: callers, backend connections, members.
 
-The node knows requests by class, key, deadline and time; what a request says is a message that
-only the link for its protocol reads. A second protocol is a second caller and a second link:
-nothing in the node changes for it. HTTP's are in `server` and `upstream`, the list's in
-`discovery`; `http_node` puts them together.
+The node handles a request by its class, key, deadline and timing. The content of a request is
+read only by the connection pool of its protocol. Support for another protocol therefore needs
+another `Caller` and another `ConnectionPool`, and no change in the node. Those for HTTP are in
+`server` and `upstream`, the `MemberSource` is in `discovery`, and `http_node` connects them.
 """
 
 from __future__ import annotations
@@ -17,103 +17,119 @@
 
 
 class Caller(Protocol):
-    """Whoever asked. Exactly one of these is called for each request, and once; or none, where
-    the caller has told `Node.client_gone` before."""
+    """The sender of a request, which gets its final answer.
 
-    def send_response(self, *answer: Any) -> None:
-        """Served: what the link for the request's protocol got of a server."""
+    The node calls exactly one of these methods for a request, and calls it once. It calls none
+    after `Node.client_gone` was called for the request.
+    """
+
+    def send_response(self, *response: Any) -> None:
+        """Deliver a backend's response, in the form that the protocol's connection pool gives."""
 
     def refuse(self, retry_after: int) -> None:
-        """It never ran; it may come again after so many nanoseconds, 0 where nobody says when."""
+        """Report that the request never ran.
+
+        The caller may retry after `retry_after` nanoseconds; 0 stands for no advice.
+        """
 
     def fail(self, late: bool) -> None:
-        """It may have run, or nobody could be asked; `late` where its time is over."""
+        """Report that the request may have run, or that no backend could be tried.
+
+        `late` tells that its deadline has passed.
+        """
 
 
 class StreamingCaller(Caller, Protocol):
-    """A caller that takes an answer as it comes: `begin`, `more` as often as it likes, and one
-    of `finish` and `cut`. From `begin` on nothing else of Caller is called."""
+    """A caller that can receive a response while it still arrives from the backend.
+
+    The sequence is one `begin_stream`, any number of `send_data`, and then either `end_stream`
+    or `abort_stream`. After `begin_stream` no method of `Caller` is called.
+    """
 
     def begin_stream(self, content_type: bytes, length: int, source: StreamSource) -> None:
-        """Served, and this is the answer's head; `length` is -1 where nobody knows it yet."""
+        """Deliver the head of the response; `length` in bytes is -1 if it is not known yet."""
 
     def send_data(self, data: bytes) -> None:
-        """What comes next of its body."""
+        """Deliver the next part of the body."""
 
     def end_stream(self) -> None:
-        """That was all of it."""
+        """End a response that is complete."""
 
     def abort_stream(self) -> None:
-        """No more of it comes, though it is not whole: the caller must be able to tell."""
+        """End a response that stays incomplete, in a way that the caller can detect."""
 
 
 class StreamSource(Protocol):
-    """Where an answer comes from while it is passed on."""
+    """The connection from which a response is streamed; its receiver controls the flow."""
 
     def pause_reading(self) -> None:
-        """Read no more for now: the caller is slower."""
+        """Stop reading from the backend, because the caller receives more slowly."""
 
     def resume_reading(self) -> None:
-        """Read again."""
+        """Read from the backend again."""
 
     def cancel(self) -> None:
-        """Nobody takes the rest any more."""
+        """Drop the rest of the response, because its caller has left."""
 
 
 class ParsedRequest(Protocol):
-    """A request as its front has read it; the node keeps it until the last attempt has ended."""
+    """A request as its listener has parsed it; the node keeps it until its last attempt ends."""
 
     class_number: int
     tenant: int
     key: int
     cost_hint: int
     is_retry: bool
-    timeout_ns: int  # nanoseconds from its arrival
-    request_id: bytes  # unlike that of any other request
-    reserved_bytes: int  # bytes of the node's budget that it holds
+    timeout_ns: int  # counted from the arrival of the request
+    request_id: bytes  # different for every request
+    reserved_bytes: int  # part of the node's memory budget that the request holds
 
 
 class AttemptHandle(Protocol):
-    """What carries one attempt at present."""
+    """The connection, or the place on a shared connection, that carries an attempt."""
 
     def abandon(self) -> bool:
-        """Let go: whatever comes late must reach nobody. False where the request's last byte
-        was certainly never written."""
+        """Drop the attempt; a late response must reach nobody.
+
+        Returns false if the last byte of the request was certainly never written.
+        """
 
 
 class ConnectionPool(Protocol):
-    """Connections to servers, for one protocol. It concludes each attempt once."""
+    """The connections to backends for one protocol; reports one outcome for each attempt."""
 
-    descriptor_count: int  # descriptors, dials included
+    descriptor_count: int  # descriptors in use, those of dials included
 
     def send(self, attempt: Attempt) -> None:
-        """Carry it; `attempt.connection` is what does, unless it was concluded at once."""
+        """Start an attempt and set `attempt.connection`, unless the attempt ends at once."""
 
     def drain_backend(self, backend: int) -> None:
-        """A server has moved, drains, has left or is banned: begin nothing more there, keep
-        nothing at rest for it; what has not begun never ran."""
+        """Start no more attempts at a backend that has moved, drains, has left or is banned.
+
+        Its idle connections are closed. Attempts that have not begun end as never run.
+        """
 
     def close_oldest_idle(self) -> bool:
-        """Give a descriptor back; False where none can be missed."""
+        """Close an idle connection to free its descriptor; returns false if none is idle."""
 
     def sweep(self, now: int) -> None:
-        """Now and then: give up what has rested for too long."""
+        """Close connections that have been idle for too long; called periodically."""
 
 
 class MemberSource(Protocol):
-    """A source of servers; it tells `Node.members_told` of each update."""
+    """A source of the list of backends; reports each update to `Node.members_told`."""
 
     def load_known_list(self, raw: Any) -> list[Listing]:
-        """The list that a configuration holds; ValueError where it can't be used."""
+        """Read the list in a configuration; raises ValueError if it can't be used."""
 
     def watch(self) -> None:
-        """Ask for changes, until a call fails."""
+        """Request changes of the list, again and again until a call fails."""
 
     def fetch(self) -> None:
-        """Ask for the whole list."""
+        """Request the whole list."""
 
     def change_address(self, address: Any) -> None:
-        """Go on at another address."""
+        """Continue at another address."""
 
     def close(self) -> None:
-        """Tell nothing any more."""
+        """Stop, and report no more updates."""
--- a/windrelay/upstream.py
+++ b/windrelay/upstream.py
@@ -1,4 +1,8 @@
-"""Connections to backends, and the pool of idle ones."""
+"""HTTP/1.1 connections to backends, and the pool of idle connections.
+
+A `BackendConnection` carries one attempt at a time and reports its outcome to the node. The
+`HttpConnectionPool` opens connections, keeps idle ones for reuse and closes them in time.
+"""
 
 from __future__ import annotations
 
@@ -23,34 +27,45 @@
     from windrelay.http_node import HttpNode
     from windrelay.node import Attempt
 
-MAX_BUFFERED_BODY_BYTES = 64 << 10  # longer answers are passed on as they come
-MAX_BODY = 32 << 20  # of an answer: the platform's own bound
-MAX_HEAD = 16 << 10  # of an answer and of what comes ahead of it
-# An answer that has begun goes on, in small pieces at times: with one that says it is longer
-# than it is, the whole of the attempt's time would pass.
-REST_S = 0.25
-# The same of one that is passed on: it can't be repeated any more, so it gets longer.
-PASSED_REST_S = 3.0
-PIECE = 64 << 10  # of a request, given to the transport at a time
-OWN_WANT = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
-MAX_INTERIM = 8  # 1xx answers before the real one
-# Turns of the loop between a dial's time being up and its end. What the kernel has
-# finished by then is found by this turn's poll and told in the next, behind what was
-# due there already: a loop that was late must not take its own lateness for the server's.
+# A response body up to this size is buffered until it is complete; a longer one is streamed.
+MAX_BUFFERED_BODY_BYTES = 64 << 10
+MAX_BODY_BYTES = 32 << 20  # the platform's limit for a response body
+MAX_HEAD_BYTES = 16 << 10  # limit for a response head, interim responses before it included
+# A response that has begun keeps sending, if only in small pieces. Without this limit a response
+# shorter than its Content-Length would use up the attempt's whole time-out.
+RESPONSE_STALL_TIMEOUT_S = 0.25
+# A streamed response can't be retried any more, so its backend may pause longer.
+STREAM_STALL_TIMEOUT_S = 3.0
+WRITE_CHUNK_BYTES = 64 << 10  # longest request that is given to the transport in one write
+# Connect errors that come from this host's own limits and say nothing about the backend.
+LOCAL_RESOURCE_ERRNOS = frozenset(
+    (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+)
+MAX_INTERIM_RESPONSE_COUNT = 8  # 1xx responses that are skipped before the final response
+# Turns of the event loop between the expiry of a dial's time-out and the end of the dial. A
+# connection that the kernel has established by the expiry is found by the poll of that turn and
+# reported in the next turn, behind the callbacks already due there. Without these turns the node
+# would take a delay of its own event loop for a slow backend.
 DIAL_GRACE_TURNS = 3
-SETTLED_NS = 3_000_000  # after which an end that follows an answer is here
-IDLE_MARGIN_NS = 2_000_000_000  # closed so long before the backend would
-LEARN_BACKENDS = 2  # that broke off at first use, for a shorter limit
-LEARN_AGAINST = 2  # more breaks of longer rests, for each break of a shorter one
-LEAST_LIMIT_NS = 25_000_000  # what closes sooner does so whatever the rest
-LEARN_USES = 256  # of rested connections looked at, within ...
-LEARN_WINDOW_NS = 10_000_000_000
-LEARN_PAUSE_NS = 5_000_000_000  # before a longer one is tried again
-LEARN_PAUSE_MAX_NS = 60_000_000_000
+# Once a connection has been idle for this time, a close that the backend sent right behind its
+# last response has arrived.
+SETTLED_IDLE_NS = 3_000_000
+# An idle connection is closed this long before the backend's own idle timeout would close it.
+IDLE_MARGIN_NS = 2_000_000_000
+# Number of different backends whose connections must break before a shorter timeout is learned.
+LEARN_MIN_BACKEND_COUNT = 2
+# Each break after a shorter idle time must be outweighed by this many breaks after longer ones.
+LEARN_CONTRARY_BREAK_WEIGHT = 2
+# Connections that break after less idle time than this break whatever their idle time was.
+MIN_LEARNED_TIMEOUT_NS = 25_000_000
+LEARN_MAX_USE_COUNT = 256  # latest uses of idle connections that are taken into account
+LEARN_WINDOW_NS = 10_000_000_000  # age up to which such a use is taken into account
+GROWTH_DELAY_NS = 5_000_000_000  # time until a longer timeout is tried after a shorter was learned
+MAX_GROWTH_DELAY_NS = 60_000_000_000  # limit of the growth delay, which doubles each time
 MS = 1_000_000
 
-# The site's words for load, beside those that settings may use for the same.
-LOAD_WORDS = {
+# The platform's names of load metrics, each with the other name that settings may use for it.
+LOAD_METRIC_ALIASES = {
     b"inflight": "rif",
     b"queue": "q",
     b"util": "busy",
@@ -63,20 +78,22 @@
 class BackendConnection(asyncio.Protocol):
     """One connection to one backend; it carries one attempt at a time.
 
-    `written` is the line that the rules hang on: false for as long as a part of
-    the request, its last byte included, has certainly not left the process.
+    The retry rules depend on `request_written`: the flag stays false while at least the last
+    byte of the request has certainly not left the process, so the request can't have run.
     """
 
     __slots__ = (
-        "_chunked", "_chunks", "_closed", "_complete", "_dial_timer", "_dirty", "_glance", "_got",
-        "_headers_done", "_interim", "_keep_alive", "_last_got", "_length", "_let", "_not_run",
-        "_passing", "_paused", "_report", "_rest_timer", "_says_close", "_size", "_slow", "_spoilt",
-        "_status", "_taken", "_task", "_type", "_unsent", "_until_end", "address", "attempt",
-        "backend", "idle_since", "parser", "transport", "upstream", "written",
+        "_announced_close", "_body_chunks", "_body_size", "_budgeted_bytes", "_chunked", "_closed",
+        "_complete", "_content_length", "_content_type", "_descriptor_released", "_dial_task",
+        "_dial_timer", "_ends_at_close", "_has_extra_data", "_headers_done", "_interim_count",
+        "_invalid", "_keep_alive", "_last_received_at", "_load_report", "_not_processed",
+        "_reading_paused", "_received_bytes", "_socket_view", "_stall_timer", "_status",
+        "_streaming_to", "_unsent_chunks", "_writing_paused", "address", "attempt", "backend",
+        "idle_since", "parser", "pool", "request_written", "transport",
     )  # fmt: skip
 
-    def __init__(self, upstream: HttpConnectionPool, backend: int, address: Address) -> None:
-        self.upstream = upstream
+    def __init__(self, pool: HttpConnectionPool, backend: int, address: Address) -> None:
+        self.pool = pool
         self.backend = backend
         self.address = address
         self.attempt: Attempt | None = None
@@ -84,263 +101,277 @@
         self.parser: httptools.HttpResponseParser | None = None
         self.idle_since = 0
         self._closed = False
-        self._let = False
-        self._taken = 0  # bytes of the answer that count against the node's budget
-        self._glance: SocketView | None = None
-        self._task: asyncio.Task[None] | None = None
+        self._descriptor_released = False
+        self._budgeted_bytes = 0  # buffered response bytes, counted in the node's memory budget
+        self._socket_view: SocketView | None = None
+        self._dial_task: asyncio.Task[None] | None = None
         self._dial_timer: asyncio.TimerHandle | None = None
-        self._rest_timer: asyncio.TimerHandle | None = None
-        self._reset()
-
-    def _reset(self) -> None:
-        self.written = False
-        self._paused = False
-        self._unsent: deque[bytes] | None = None  # what the transport has not been given yet
-        self._passing: StreamingCaller | None = None  # who takes the answer as it comes
-        self._slow = False  # whoever takes it can't take more at present
-        self._last_got = 0
-        self._interim = 0
-        self._got = 0  # bytes of the answer, of whatever kind
-        self._spoilt = False
-        self._begin_answer()
-
-    def _begin_answer(self) -> None:
+        self._stall_timer: asyncio.TimerHandle | None = None
+        self._reset_exchange()
+
+    def _reset_exchange(self) -> None:
+        self.request_written = False
+        self._writing_paused = False
+        self._unsent_chunks: deque[bytes] | None = None  # rest of a long request
+        self._streaming_to: StreamingCaller | None = None  # receives the response as it arrives
+        self._reading_paused = False  # the caller takes the stream more slowly than it arrives
+        self._last_received_at = 0
+        self._interim_count = 0
+        self._received_bytes = 0  # all response bytes: heads, framing and bodies
+        self._invalid = False
+        self._reset_response()
+
+    def _reset_response(self) -> None:
         self._status = 0
         self._headers_done = False
-        self._length = -1
+        self._content_length = -1
         self._chunked = False
-        self._not_run = False
-        self._report = b""
-        self._type = b""
-        self._chunks: list[bytes] = []
-        self._size = 0
+        self._not_processed = False
+        self._load_report = b""
+        self._content_type = b""
+        self._body_chunks: list[bytes] = []
+        self._body_size = 0
         self._complete = False
-        self._says_close = False
-        self._until_end = False  # only the end of the connection ends it
+        self._announced_close = False
+        self._ends_at_close = False  # the response has no length: the connection's end ends it
         self._keep_alive = False
-        self._dirty = False
+        self._has_extra_data = False
 
-    # ---- dialling -----------------------------------------------------
+    # ---- connecting ---------------------------------------------------
 
     def dial(self, attempt: Attempt) -> None:
-        """Connect for this attempt; the loop makes and owns the descriptor (see `socket_view`)."""
-        node = self.upstream.node
+        """Open the connection and send the attempt on it.
+
+        The event loop creates the descriptor and owns it until it is closed (see `socket_view`).
+        """
+        node = self.pool.node
         self.attempt = attempt
-        self.upstream.descriptor_count += 1
-        self.upstream.dials.add(self)
+        self.pool.descriptor_count += 1
+        self.pool.pending_dials.add(self)
         timeout = node.config.settings.connect_timeout / 1e9
         self._dial_timer = node.loop.call_later(timeout, self._dial_expired, DIAL_GRACE_TURNS)
-        self._task = node.loop.create_task(self._connect())
-        self._task.add_done_callback(self._dialled)
+        self._dial_task = node.loop.create_task(self._connect())
+        self._dial_task.add_done_callback(self._on_dial_done)
 
     async def _connect(self) -> None:
-        loop = self.upstream.node.loop
+        loop = self.pool.node.loop
         host, port = self.address
         await loop.create_connection(lambda: self, host, port, family=socket.AF_INET)
 
     @closes_connection_on_error
-    def _dialled(self, task: asyncio.Task[None]) -> None:
-        """However dialling ended. On each failure the loop has closed what it made."""
-        self._task = None
+    def _on_dial_done(self, task: asyncio.Task[None]) -> None:
+        """Handle the end of the connect task; a failed one has already closed its descriptor."""
+        self._dial_task = None
         error = None if task.cancelled() else task.exception()
         if error is None and not task.cancelled():
-            return  # connection_lost ends it
-        self._let_go()
-        if isinstance(error, OSError) and error.errno in OWN_WANT:
-            self._settle(Outcome.NOT_SENT)  # says nothing of the backend
+            return  # connected: from here on connection_lost reports the end
+        self._release_descriptor()
+        if isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRNOS:
+            # A limit of this host was reached; this is no failure of the backend.
+            self._close_with_outcome(Outcome.NOT_SENT)
             return
         if error is not None and not isinstance(error, OSError):
-            self.upstream.node.record_error("a dial", error)
-        self._broken()
+            self.pool.node.record_error("a backend dial", error)
+        self._fail_connection()
 
     @closes_connection_on_error
-    def _dial_expired(self, turns: int) -> None:
+    def _dial_expired(self, turns_left: int) -> None:
         if self._closed or self.transport is not None:
             return
-        if turns:
-            self.upstream.node.loop.call_soon(self._dial_expired, turns - 1)
+        if turns_left:
+            self.pool.node.loop.call_soon(self._dial_expired, turns_left - 1)
         else:
-            self._broken()
+            self._fail_connection()
 
     @closes_connection_on_error
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.upstream.dials.discard(self)
+        self.pool.pending_dials.discard(self)
         if self._dial_timer is not None:
             self._dial_timer.cancel()
             self._dial_timer = None
         if self._closed:
             self.transport.abort()
             return
-        self._glance = SocketView(transport)
-        # With no room above the kernel's, a write that leaves anything behind
-        # pauses us at once: not paused means that every byte has left.
+        self._socket_view = SocketView(transport)
+        # With a high-water mark of 0 the transport calls pause_writing as soon as it has to
+        # buffer anything. A connection that is not paused has handed every byte to the kernel.
         self.transport.set_write_buffer_limits(high=0)
         self.parser = httptools.HttpResponseParser(self)
         attempt = self.attempt
         if attempt is None:
             return
-        if self.upstream.node.may_begin(attempt):
+        if self.pool.node.may_begin(attempt):
             self._write_request()
             return
-        # Too late for this one; the connection has cost its handshake and serves another.
+        # The attempt may not begin any more. The connection has paid for its handshake, so
+        # the pool keeps it for another attempt.
         self.attempt = None
-        self.upstream.release(self)
-        self.upstream.node.conclude(attempt, Outcome.NOT_SENT)
+        self.pool.release(self)
+        self.pool.node.conclude(attempt, Outcome.NOT_SENT)
 
     # ---- the request --------------------------------------------------
 
-    def begin(self, attempt: Attempt) -> None:
-        """Carry an attempt on a connection that was idle."""
-        self._reset()
+    def start_on_idle(self, attempt: Attempt) -> None:
+        """Send an attempt on a connection that was idle."""
+        self._reset_exchange()
         self.attempt = attempt
         self._write_request()
 
     def _write_request(self) -> None:
+        """Write the attempt's request, or a health probe if the attempt has no request."""
         attempt = self.attempt
         assert attempt is not None
-        r = attempt.request
-        if r is None:
+        request = attempt.request
+        if request is None:
             head = b"GET /health/live HTTP/1.1\r\nHost: %s\r\n\r\n" % str(self.address).encode()
         else:
-            left = attempt.sent_at + attempt.timeout - time.monotonic_ns()
-            asked = r.incoming
-            head = b"%s%d\r\n\r\n" % (asked.head, max(left // MS, 1))
-            if asked.body_size <= PIECE:
-                head = b"".join((head, *asked.body))
+            time_left = attempt.sent_at + attempt.timeout - time.monotonic_ns()
+            parsed = request.incoming
+            head = b"%s%d\r\n\r\n" % (parsed.head, max(time_left // MS, 1))
+            if parsed.body_size <= WRITE_CHUNK_BYTES:
+                head = b"".join((head, *parsed.body))
         transport = self.transport
         assert transport is not None
-        # Mostly one write, never more than a head and 64 KiB. Where the write itself fails the
-        # kernel took nothing, so the last byte never left: connection_lost tells the outcome.
-        # A rest may wait above the kernel, but how much is in doubt from here on.
-        if r is None or r.incoming.body_size <= PIECE:
+        # Most requests are one write, of at most a head and 64 KiB. If the write itself fails,
+        # the kernel took nothing, so the last byte never left and connection_lost reports the
+        # outcome. After a successful write part of the request may still wait in the
+        # transport's buffer. How much of it has left is unknown, so it counts as written.
+        if request is None or request.incoming.body_size <= WRITE_CHUNK_BYTES:
             transport.write(head)
-            self.written = not transport.is_closing()
+            self.request_written = not transport.is_closing()
             return
-        # What is longer goes in pieces, the next once the one before has left, so that a
-        # request never ran where its connection breaks before the last is begun.
-        self._unsent = deque(asked.body)
+        # A longer request is written in pieces, each one after the piece before it has left
+        # the process. If the connection breaks before the last piece, the request never ran.
+        self._unsent_chunks = deque(parsed.body)
         transport.write(head)
-        self._push()
+        self._write_pending()
 
-    def _push(self) -> None:
+    def _write_pending(self) -> None:
+        """Write pieces of a long request until the transport has to buffer one."""
         transport = self.transport
-        while self._unsent and not self._paused and transport is not None:
+        while self._unsent_chunks and not self._writing_paused and transport is not None:
             if transport.is_closing():
                 return
             attempt = self.attempt
-            if len(self._unsent) == 1 and attempt and not self.upstream.node.may_begin(attempt):
-                self._settle(Outcome.NOT_SENT)
+            if len(self._unsent_chunks) == 1 and attempt and not self.pool.node.may_begin(attempt):
+                self._close_with_outcome(Outcome.NOT_SENT)
                 return
-            transport.write(self._unsent.popleft())
-            self.written = not self._unsent and not transport.is_closing()
+            transport.write(self._unsent_chunks.popleft())
+            self.request_written = not self._unsent_chunks and not transport.is_closing()
 
     def pause_writing(self) -> None:
-        self._paused = True
+        self._writing_paused = True
 
     def resume_writing(self) -> None:
-        self._paused = False
-        if self._unsent:
-            self._push()
+        self._writing_paused = False
+        if self._unsent_chunks:
+            self._write_pending()
 
-    # ---- the answer ---------------------------------------------------
+    # ---- the response -------------------------------------------------
 
-    def _give_back(self) -> None:
-        """What was held of an answer has been passed on or dropped."""
-        taken, self._taken = self._taken, 0
-        if taken:
-            self.upstream.node.budget.release(taken)
+    def _release_budget(self) -> None:
+        """Return the memory budget of a buffered response that was delivered or dropped."""
+        byte_count, self._budgeted_bytes = self._budgeted_bytes, 0
+        if byte_count:
+            self.pool.node.budget.release(byte_count)
 
     def data_received(self, data: bytes) -> None:
         parser = self.parser
         if parser is None:
             return
         if self.attempt is None:
-            # Unasked-for bytes on an idle connection: they answer nobody.
+            # An idle connection got bytes that answer no request.
             self._close()
             return
-        self._got += len(data)
-        self._last_got = time.monotonic_ns()
-        if self._passing is not None and self._length >= 0:
-            self._pass_raw(data)
+        self._received_bytes += len(data)
+        self._last_received_at = time.monotonic_ns()
+        if self._streaming_to is not None and self._content_length >= 0:
+            self._stream_raw(data)
             return
         try:
             parser.feed_data(data)
         except httptools.HttpParserCallbackError as err:
-            self.upstream.node.record_error("reading an answer", err.__context__ or err)
-            self._spoilt = True
+            self.pool.node.record_error("reading a response", err.__context__ or err)
+            self._invalid = True
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._dirty = True
-            self._spoilt = not self._complete
-        if self._complete and not self._spoilt:
+            self._has_extra_data = True
+            self._invalid = not self._complete
+        if self._complete and not self._invalid:
             self._finish_response()
-        elif self._spoilt or (not self._headers_done and self._got > MAX_HEAD):
-            self._give_up_answer()
-        elif self._rest_timer is None:
-            self._rest_timer = self.upstream.node.loop.call_later(REST_S, self._rest_expired)
+        elif self._invalid or (not self._headers_done and self._received_bytes > MAX_HEAD_BYTES):
+            self._reject_response()
+        elif self._stall_timer is None:
+            self._stall_timer = self.pool.node.loop.call_later(
+                RESPONSE_STALL_TIMEOUT_S, self._on_stall_timer
+            )
 
     def eof_received(self) -> bool:
-        # An answer without a length is whole where its connection ends, and only so.
-        if self.attempt is not None and self._until_end and not self._spoilt:
+        # A response without a length is complete when its connection ends.
+        if self.attempt is not None and self._ends_at_close and not self._invalid:
             self._complete = True
             self._finish_response()
         return False
 
     @closes_connection_on_error
-    def _rest_expired(self) -> None:
-        self._rest_timer = None
+    def _on_stall_timer(self) -> None:
+        self._stall_timer = None
         if self.attempt is None:
             return
-        patience = REST_S if self._passing is None else PASSED_REST_S
-        silent = (time.monotonic_ns() - self._last_got) / 1e9
-        if self._slow:
-            silent = 0.0  # whoever takes it is, and has limits of its own
-        elif silent >= patience:
-            if not self._unread():
-                self._give_up_answer()
+        stall_timeout_s = (
+            RESPONSE_STALL_TIMEOUT_S if self._streaming_to is None else STREAM_STALL_TIMEOUT_S
+        )
+        silent_s = (time.monotonic_ns() - self._last_received_at) / 1e9
+        if self._reading_paused:
+            silent_s = 0.0  # the caller is slow, not the backend; its own time limits apply
+        elif silent_s >= stall_timeout_s:
+            if not self._has_unread_data():
+                self._reject_response()
                 return
-            silent = 0.0  # it is our loop that was late
-        self._rest_timer = self.upstream.node.loop.call_later(patience - silent, self._rest_expired)
+            silent_s = 0.0  # data waits in the kernel: this event loop was late, not the backend
+        self._stall_timer = self.pool.node.loop.call_later(
+            stall_timeout_s - silent_s, self._on_stall_timer
+        )
 
-    def _give_up_answer(self) -> None:
-        """The answer can't be used: a failed attempt that may have run, and no more.
+    def _reject_response(self) -> None:
+        """End the attempt because its response can't be used: a failure that may have run.
 
-        Any backend may send one now and then, and the next answer may be sound: told
-        as a break, two in a row would have the backend suspended and taken for cold.
-        One that sends nothing else is met by the attempts' errors alone.
+        A sound backend may send an invalid response now and then. If each was reported as a
+        broken connection, two in a row would eject the backend and restart it in slow start. A
+        backend that sends nothing but invalid responses is ejected by its attempts' errors.
         """
         attempt = self.attempt
         if attempt is not None:
-            self.upstream.node.log(
-                f"backend {self.backend}: answer not used, {self._got} bytes, "
-                f"status {self._status}, length {self._length}"
+            self.pool.node.log(
+                f"backend {self.backend}: answer not used, {self._received_bytes} bytes received, "
+                f"status {self._status}, Content-Length {self._content_length}"
             )
-        self._settle(Outcome.ERROR if self.written else Outcome.CONNECT_FAILED)
+        self._close_with_outcome(Outcome.ERROR if self.request_written else Outcome.CONNECT_FAILED)
 
     def on_message_begin(self) -> None:
         if self._complete:
-            self._dirty = True
+            self._has_extra_data = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self._headers_done or self._complete:
-            return  # a trailer, or of what follows the answer
+            return  # a trailer, or a header of data behind the response
         name = name.lower()
-        value = value.strip(b" \t")  # the parser leaves what may follow
+        value = value.strip(b" \t")  # the parser keeps white space behind a value
         if name == b"content-length":
-            if not value.isdigit() or len(value) > 9 or self._length >= 0:
-                self._spoilt = True
+            if not value.isdigit() or len(value) > 9 or self._content_length >= 0:
+                self._invalid = True
             else:
-                self._length = int(value)
+                self._content_length = int(value)
         elif name == b"content-type":
-            self._type = value
+            self._content_type = value
         elif name == b"transfer-encoding":
             self._chunked = True
         elif name == b"connection":
-            self._says_close = value.lower() == b"close"
+            self._announced_close = value.lower() == b"close"
         elif name == b"x-not-processed":
-            self._not_run = value == b"1"
+            self._not_processed = value == b"1"
         elif name == b"x-server-load":
-            self._report = value
+            self._load_report = value
 
     def on_headers_complete(self) -> None:
         if self._complete or self.parser is None:
@@ -348,393 +379,435 @@
         self._status = self.parser.get_status_code()
         self._headers_done = True
         self._keep_alive = self.parser.should_keep_alive()
-        # Known from the head alone: too long, or of a length that nobody could check.
-        # An answer that ends with its connection looks whole wherever it breaks off.
-        self._spoilt |= self._length > MAX_BODY or (self._length >= 0 and self._chunked)
-        if self._status == 200 and self._length < 0 and not self._chunked:
-            # The end of its connection ends it, so that it looks whole wherever it breaks off:
-            # only a server that says so beforehand is believed.
-            self._until_end = self._says_close
-            self._spoilt |= not self._says_close
+        # The head alone shows that the body is too long, or that its length is ambiguous.
+        self._invalid |= self._content_length > MAX_BODY_BYTES or (
+            self._content_length >= 0 and self._chunked
+        )
+        if self._status == 200 and self._content_length < 0 and not self._chunked:
+            # The end of the connection ends the body, so a body that breaks off looks complete.
+            # It is accepted only if the backend announced `Connection: close`.
+            self._ends_at_close = self._announced_close
+            self._invalid |= not self._announced_close
 
     def on_body(self, body: bytes) -> None:
         if self.parser is None:
             return
         if self._complete:
-            self._dirty = True
+            self._has_extra_data = True
             return
-        self._size += len(body)
-        if self._size > MAX_BODY:
-            self._spoilt = True
-        elif self._status != 200 or self._spoilt:
-            return  # the text of an error is of no use to anybody: it is not kept
-        elif self._passing is not None:
-            self._passing.send_data(body)
+        self._body_size += len(body)
+        if self._body_size > MAX_BODY_BYTES:
+            self._invalid = True
+        elif self._status != 200 or self._invalid:
+            return  # the body of an error or of an invalid response is not used
+        elif self._streaming_to is not None:
+            self._streaming_to.send_data(body)
         else:
-            self._chunks.append(body)
-            self._taken += len(body)
-            self.upstream.node.budget.reserve(len(body))
-            if self._size > MAX_BUFFERED_BODY_BYTES or self._length > MAX_BUFFERED_BODY_BYTES:
-                self._pass_on()
-
-    def _pass_on(self) -> None:
-        """From here on the answer goes to its client as it comes."""
+            self._body_chunks.append(body)
+            self._budgeted_bytes += len(body)
+            self.pool.node.budget.reserve(len(body))
+            if (
+                self._body_size > MAX_BUFFERED_BODY_BYTES
+                or self._content_length > MAX_BUFFERED_BODY_BYTES
+            ):
+                self._start_streaming()
+
+    def _start_streaming(self) -> None:
+        """Begin to stream the response to its caller, with the part buffered so far first."""
         attempt = self.attempt
-        r = attempt.request if attempt is not None else None
-        if attempt is None or r is None:
-            self._spoilt = True  # a probe's
-        elif not self.written:
-            self._spoilt = True  # no answer to this request, see _outcome
-        elif r.ended or r.client is None:
-            self._spoilt = True  # nobody takes it
+        request = attempt.request if attempt is not None else None
+        if attempt is None or request is None:
+            self._invalid = True  # the response of a probe has no caller
+        elif not self.request_written:
+            self._invalid = True  # the request is not written yet, see _outcome
+        elif request.ended or request.client is None:
+            self._invalid = True  # the request has ended or its caller has left
         else:
-            self._passing = cast(StreamingCaller, r.client)
-            chunks, self._chunks = self._chunks, []
-            self.upstream.node.begin_answer(attempt)
-            self._passing.begin_stream(self._type, self._length, self)
+            self._streaming_to = cast(StreamingCaller, request.client)
+            chunks, self._body_chunks = self._body_chunks, []
+            self.pool.node.begin_answer(attempt)
+            self._streaming_to.begin_stream(self._content_type, self._content_length, self)
             for chunk in chunks:
-                self._passing.send_data(chunk)
-            self._give_back()
-
-    def _pass_raw(self, data: bytes) -> None:
-        """Within a body of a known length there is nothing to parse, and nothing to copy."""
-        assert self._passing is not None
-        left = self._length - self._size
-        if len(data) > left:
-            self._dirty = True  # more than belongs to it
-            data = data[:left]
-        self._size += len(data)
-        self._passing.send_data(data)
-        if self._size == self._length:
+                self._streaming_to.send_data(chunk)
+            self._release_budget()
+
+    def _stream_raw(self, data: bytes) -> None:
+        """Stream body data without the parser, which a body of known length does not need."""
+        assert self._streaming_to is not None
+        remaining = self._content_length - self._body_size
+        if len(data) > remaining:
+            self._has_extra_data = True  # the rest is no part of this response
+            data = data[:remaining]
+        self._body_size += len(data)
+        self._streaming_to.send_data(data)
+        if self._body_size == self._content_length:
             self._complete = True
-            self.parser = httptools.HttpResponseParser(self)  # the old one stands in the body
+            self.parser = httptools.HttpResponseParser(self)  # the old one is inside the body
             self._finish_response()
 
-    # ---- passing on (interfaces.StreamSource) --------------------------------------
+    # ---- streaming (interfaces.StreamSource) --------------------------
 
     def pause_reading(self) -> None:
-        self._slow = True
+        self._reading_paused = True
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
-        if self._slow:
-            self._slow = False
-            self._last_got = time.monotonic_ns()
+        if self._reading_paused:
+            self._reading_paused = False
+            self._last_received_at = time.monotonic_ns()
             if self.transport is not None and not self.transport.is_closing():
                 self.transport.resume_reading()
 
     def cancel(self) -> None:
-        self._passing = None
-        self._settle(Outcome.CANCELLED)
+        self._streaming_to = None
+        self._close_with_outcome(Outcome.CANCELLED)
 
-    def _cut(self) -> None:
-        """What was passed on is not whole; whoever takes it must see that."""
-        passing, self._passing = self._passing, None
-        if passing is not None:
-            passing.abort_stream()
+    def _abort_stream(self) -> None:
+        """Abort a stream that is incomplete, so that its receiver can tell."""
+        receiver, self._streaming_to = self._streaming_to, None
+        if receiver is not None:
+            receiver.abort_stream()
 
     def on_message_complete(self) -> None:
         if self._complete or self.parser is None:
             return
-        if 100 <= self._status < 200 and self._status != 101 and self._interim < MAX_INTERIM:
-            self._interim += 1
-            self._begin_answer()
+        if (
+            100 <= self._status < 200
+            and self._status != 101
+            and self._interim_count < MAX_INTERIM_RESPONSE_COUNT
+        ):
+            self._interim_count += 1
+            self._reset_response()
             return
         self._keep_alive = self.parser.should_keep_alive()
         self._complete = True
 
     @closes_connection_on_error
     def connection_lost(self, exc: Exception | None) -> None:
-        if self._glance is not None:
-            self._glance.release()
-            self._glance = None
+        if self._socket_view is not None:
+            self._socket_view.release()
+            self._socket_view = None
         try:
             if self.attempt is not None:
-                self._broke_off(self.attempt, exc)
-            if self._got and self.attempt is not None:
-                self._give_up_answer()  # it was alive; had it ended, the next dial would tell
+                self._record_break(self.attempt, exc)
+            if self._received_bytes and self.attempt is not None:
+                self._reject_response()  # the backend was alive; a dead one fails the next dial
             else:
-                self._broken()
+                self._fail_connection()
         finally:
-            self._let_go()
+            self._release_descriptor()
 
-    def _broke_off(self, attempt: Attempt, exc: Exception | None) -> None:
-        """Learn from a break under an attempt, and log it."""
+    def _record_break(self, attempt: Attempt, exc: Exception | None) -> None:
+        """Log a connection that broke during an attempt, and adapt the idle timeout to it."""
         now = time.monotonic_ns()
         idle = attempt.sent_at - self.idle_since if self.idle_since else -MS
-        if self.idle_since and not self._got:
-            self.upstream.idle_timeout.broke(now, self.backend, idle)
-        self.upstream.node.log(
-            f"backend {self.backend} broke off: {exc or 'end'}, idle before {idle // MS} ms, "
+        if self.idle_since and not self._received_bytes:
+            self.pool.idle_timeout.record_break(now, self.backend, idle)
+        self.pool.node.log(
+            f"backend {self.backend} broke off: {exc or 'connection closed'}, "
+            f"idle for {idle // MS} ms before the attempt, "
             f"{(now - attempt.sent_at) // MS} ms after the send, "
-            f"{self._got} bytes of an answer, written {self.written}"
+            f"{self._received_bytes} response bytes received, "
+            f"request written: {self.request_written}"
         )
 
     def close_on_error(self, where: str, error: BaseException) -> None:
-        """An exception in a callback: a break of this connection, and no more."""
-        self.upstream.node.record_error(where, error)
-        self._broken()
+        """Handle an exception in a callback: this connection breaks, and nothing else."""
+        self.pool.node.record_error(where, error)
+        self._fail_connection()
         if self.transport is not None:
-            self.transport.abort()  # also where it was marked as closed half way
+            self.transport.abort()  # even if the exception came after `_closed` was set
 
     def _outcome(self) -> Outcome:
+        """Return the outcome that follows from a complete response."""
         status = self._status
         if status == 200:
-            # Before the request's last byte is written no backend has begun it:
-            # such an answer is not one to this request.
-            return Outcome.OK if self.written else Outcome.ERROR
-        if status in (503, 504) and self._not_run:
+            # No backend begins a request before it has the last byte, so a 200 that comes before
+            # that byte was written does not answer this request.
+            return Outcome.OK if self.request_written else Outcome.ERROR
+        if status in (503, 504) and self._not_processed:
             return Outcome.FULL
         return Outcome.ERROR
 
     def _finish_response(self) -> None:
+        """Deliver a complete response, report the outcome, and keep or close the connection."""
         attempt, self.attempt = self.attempt, None
         transport = self.transport
-        chunks, self._chunks = self._chunks, []
-        node = self.upstream.node
+        chunks, self._body_chunks = self._body_chunks, []
+        node = self.pool.node
         reusable = (
-            not self._dirty
-            and self.written
-            and not self._paused
+            not self._has_extra_data
+            and self.request_written
+            and not self._writing_paused
             and self._keep_alive
             and transport is not None
             and not transport.is_closing()
         )
-        self._stop_rest_timer()
+        self._cancel_stall_timer()
         outcome = self._outcome()
         if attempt is not None:
             if self.idle_since:
                 idle = attempt.sent_at - self.idle_since
-                self.upstream.idle_timeout.held(node.now, idle)
-            r = attempt.request
-            passing, self._passing = self._passing, None
-            if passing is not None:
-                passing.end_stream()
-                # Held for its last piece, nobody would let it go on any more: the next answer
-                # on this connection was never read.
+                self.pool.idle_timeout.record_success(node.now, idle)
+            request = attempt.request
+            receiver, self._streaming_to = self._streaming_to, None
+            if receiver is not None:
+                receiver.end_stream()
+                # The caller may have paused reading at the last piece and no longer resumes it:
+                # the next response on this connection would never be read.
                 self.resume_reading()
-            elif r is not None and outcome == Outcome.OK and not r.ended and r.client is not None:
-                r.client.send_response(self._type, chunks, self._size)
-            elif r is None and outcome == Outcome.ERROR and self._status == 503:
+            elif (
+                request is not None
+                and outcome == Outcome.OK
+                and not request.ended
+                and request.client is not None
+            ):
+                request.client.send_response(self._content_type, chunks, self._body_size)
+            elif request is None and outcome == Outcome.ERROR and self._status == 503:
                 outcome = Outcome.FULL
-        self._give_back()
+        self._release_budget()
         if reusable:
-            self.upstream.release(self)
+            self.pool.release(self)
         else:
             self._close()
         if attempt is not None:
-            node.conclude(attempt, outcome, self._load())
+            node.conclude(attempt, outcome, self._parse_load_report())
 
-    def _load(self) -> Sequence[float]:
-        """The load report in the settings' order of columns, or nothing."""
-        config = self.upstream.node.config
-        if not self._report or not config.load_reports_enabled:
+    def _parse_load_report(self) -> Sequence[float]:
+        """Return the reported load in the order of the settings' columns, or () without one."""
+        config = self.pool.node.config
+        if not self._load_report or not config.load_reports_enabled:
             return ()
         values: dict[str, float] = {}
         try:
-            for part in self._report.split(b","):
-                word, _, value = part.strip().partition(b"=")
-                values[word.decode()] = values[LOAD_WORDS.get(word, word.decode())] = float(value)
-            told = tuple(values[column] for column in config.settings.load_columns)
-            return told if all(map(math.isfinite, told)) else ()
+            for part in self._load_report.split(b","):
+                name, _, value = part.strip().partition(b"=")
+                values[name.decode()] = values[LOAD_METRIC_ALIASES.get(name, name.decode())] = (
+                    float(value)
+                )
+            columns = tuple(values[column] for column in config.settings.load_columns)
+            return columns if all(map(math.isfinite, columns)) else ()
         except (ValueError, KeyError):
             return ()
 
-    # ---- ends ---------------------------------------------------------
+    # ---- closing ------------------------------------------------------
 
     def abandon(self) -> bool:
-        """Stop waiting and close: whatever comes late must reach nobody.
+        """Close the connection and drop its attempt; a late response must reach nobody.
 
-        False where the request's last byte was certainly never written.
+        Returns false if the request's last byte was certainly never written.
         """
-        sent = self.written
+        may_have_run = self.request_written
         self.attempt = None
-        self._cut()
+        self._abort_stream()
         self._close()
-        return sent
+        return may_have_run
 
-    def withdraw(self) -> None:
-        """End a dial whose backend wants nothing new by now: that says nothing of it."""
-        self._settle(Outcome.NOT_SENT)
+    def cancel_dial(self) -> None:
+        """End a dial to a backend that gets no new attempts; this is no failure of the backend."""
+        self._close_with_outcome(Outcome.NOT_SENT)
 
-    def _broken(self) -> None:
-        """The connection is of no more use; whoever waits on it learns so."""
-        self._settle(Outcome.RESET if self.written else Outcome.CONNECT_FAILED)
+    def _fail_connection(self) -> None:
+        """Close a broken connection and report the outcome of its attempt."""
+        self._close_with_outcome(Outcome.RESET if self.request_written else Outcome.CONNECT_FAILED)
 
-    def _settle(self, outcome: Outcome) -> None:
+    def _close_with_outcome(self, outcome: Outcome) -> None:
+        """Close the connection and report the outcome of its attempt, if it carries one."""
         attempt, self.attempt = self.attempt, None
-        self._cut()
+        self._abort_stream()
         self._close()
         if attempt is not None:
-            self.upstream.node.conclude(attempt, outcome)
+            self.pool.node.conclude(attempt, outcome)
 
-    def _stop_rest_timer(self) -> None:
-        if self._rest_timer is not None:
-            self._rest_timer.cancel()
-            self._rest_timer = None
+    def _cancel_stall_timer(self) -> None:
+        if self._stall_timer is not None:
+            self._stall_timer.cancel()
+            self._stall_timer = None
 
     def _close(self) -> None:
         if self._closed:
             return
         self._closed = True
-        self.upstream.dials.discard(self)
-        self.upstream.take_out(self)
+        self.pool.pending_dials.discard(self)
+        self.pool.remove_idle(self)
         self.parser = None
-        self._chunks = []
-        self._unsent = None
-        self._give_back()
-        self._stop_rest_timer()
+        self._body_chunks = []
+        self._unsent_chunks = None
+        self._release_budget()
+        self._cancel_stall_timer()
         if self._dial_timer is not None:
             self._dial_timer.cancel()
             self._dial_timer = None
         if self.transport is not None:
             self.transport.abort()
-        elif self._task is not None:
-            self._task.cancel()  # connection_made may come all the same: it aborts
+        elif self._dial_task is not None:
+            self._dial_task.cancel()  # connection_made may still be called and aborts then
 
-    def _let_go(self) -> None:
-        """The descriptor is closed, or will be before anything else can be opened."""
-        if not self._let:
-            self._let = True
-            self.upstream.descriptor_count -= 1
-            self.upstream.node.on_descriptor_freed()
+    def _release_descriptor(self) -> None:
+        """Stop counting the descriptor, which is closed before another one can be opened."""
+        if not self._descriptor_released:
+            self._descriptor_released = True
+            self.pool.descriptor_count -= 1
+            self.pool.node.on_descriptor_freed()
 
-    def usable(self) -> bool:
-        """Whether an idle connection still stands, as far as the kernel knows.
+    def is_usable(self) -> bool:
+        """Whether an idle connection is still open, as far as the kernel knows.
 
-        The loop may not have come to its end yet: a request written into it
-        would count as may-have-run.
+        The event loop may not have seen its end yet. A request that is written to a closed
+        connection would count as one that may have run.
         """
         transport = self.transport
-        return transport is not None and not transport.is_closing() and not self._unread()
+        return transport is not None and not transport.is_closing() and not self._has_unread_data()
 
-    def _unread(self) -> bool:
-        return self._glance is None or has_unread_data(self._glance)
+    def _has_unread_data(self) -> bool:
+        """Whether bytes, an end or an error wait in the kernel, or the socket is gone."""
+        return self._socket_view is None or has_unread_data(self._socket_view)
 
 
 class AdaptiveIdleTimeout:
-    """How long a connection may have been idle and still be used.
-
-    Backends, or what lies between, may forget idle connections long before the
-    settings' time and say so only when the next request is written: then it
-    counts as may-have-run. A shorter limit is learnt where most connections that
-    had rested so long or longer broke under their first bytes. Breaks that hit
-    long and short rests alike teach nothing, nor does one backend alone, which
-    may just have been restarted: dialling for each request would only hurt.
-    Where one connection in twenty breaks by chance the two longest rests of the
-    last uses do so every few seconds; taken for a lesson, that brought the limit
-    to 0 within 20 s, and each request dialled.
+    """The longest time for which a connection may have been idle and still be reused.
+
+    A backend, or a network device on the way, may drop idle connections long before the
+    configured time, and the node learns of it only when it writes the next request. That request
+    then counts as one that may have run. A shorter timeout is learned when most connections that
+    had been idle for that time or longer broke under the first bytes of a request.
+
+    Nothing is learned from breaks that hit long and short idle times alike, because a dial for
+    every request would only cost time. Nothing is learned from the breaks of a single backend
+    either, because that backend may just have been restarted. Where one connection in twenty
+    breaks by chance, the two with the longest idle times among the latest uses break every few
+    seconds: learning from those two alone brought the timeout to 0 within 20 s, and every request
+    needed a dial.
     """
 
-    __slots__ = ("_grow_at", "_pause", "_seen", "max_timeout_ns", "timeout_ns")
+    __slots__ = ("_grow_at", "_growth_delay", "_recent_uses", "max_timeout_ns", "timeout_ns")
 
-    def __init__(self, most: int) -> None:
-        self.max_timeout_ns = most
-        self.timeout_ns = most
-        # The last uses of rested connections: when, how long idle, the backend that broke.
-        self._seen: deque[tuple[int, int, int | None]] = deque(maxlen=LEARN_USES)
-        self._pause = LEARN_PAUSE_NS
+    def __init__(self, max_timeout_ns: int) -> None:
+        self.max_timeout_ns = max_timeout_ns
+        self.timeout_ns = max_timeout_ns
+        # The latest reuses: time, idle time before it, and the backend if the connection broke.
+        self._recent_uses: deque[tuple[int, int, int | None]] = deque(maxlen=LEARN_MAX_USE_COUNT)
+        self._growth_delay = GROWTH_DELAY_NS
         self._grow_at = 0
 
-    def held(self, now: int, idle: int) -> None:
-        """A connection that had been idle so long brought an answer."""
-        self._seen.append((now, idle, None))
-
-    def broke(self, now: int, backend: int, idle: int) -> None:
-        """A connection that had been idle so long broke under its first bytes."""
-        seen = self._seen
-        seen.append((now, idle, backend))
-        while now - seen[0][0] > LEARN_WINDOW_NS:
-            seen.popleft()
-        broken = shortest = 0
-        backends = set()
-        all_broken = sum(use[2] is not None for use in seen)
-        longest_first = sorted(seen, key=lambda use: -use[1])
-        for total, (_, age, which) in enumerate(longest_first, 1):
-            if which is not None:
-                broken += 1
-                backends.add(which)
-                sure = LEARN_BACKENDS + LEARN_AGAINST * (all_broken - broken)
-                if len(backends) >= LEARN_BACKENDS and broken >= sure and broken * 3 >= total * 2:
-                    shortest = max(age * 7 // 10, LEAST_LIMIT_NS)
-        if 0 < shortest < self.timeout_ns:
-            self.timeout_ns = shortest
-            self._grow_at = now + self._pause
-            # Each time that more was tried and broke again, the next try waits longer.
-            self._pause = min(2 * self._pause, LEARN_PAUSE_MAX_NS)
-
-    def sweep(self, now: int) -> None:
+    def record_success(self, now: int, idle_ns: int) -> None:
+        """Record that a connection reused after this idle time brought a response."""
+        self._recent_uses.append((now, idle_ns, None))
+
+    def record_break(self, now: int, backend: int, idle_ns: int) -> None:
+        """Record a break under the first bytes after this idle time; it may shorten the timeout."""
+        uses = self._recent_uses
+        uses.append((now, idle_ns, backend))
+        while now - uses[0][0] > LEARN_WINDOW_NS:
+            uses.popleft()
+        break_count = learned_ns = 0
+        broken_backends = set()
+        total_break_count = sum(use[2] is not None for use in uses)
+        longest_idle_first = sorted(uses, key=lambda use: -use[1])
+        for use_count, (_, use_idle_ns, broken_backend) in enumerate(longest_idle_first, 1):
+            if broken_backend is not None:
+                break_count += 1
+                broken_backends.add(broken_backend)
+                required = LEARN_MIN_BACKEND_COUNT + LEARN_CONTRARY_BREAK_WEIGHT * (
+                    total_break_count - break_count
+                )
+                if (
+                    len(broken_backends) >= LEARN_MIN_BACKEND_COUNT
+                    and break_count >= required
+                    and break_count * 3 >= use_count * 2
+                ):
+                    learned_ns = max(use_idle_ns * 7 // 10, MIN_LEARNED_TIMEOUT_NS)
+        if 0 < learned_ns < self.timeout_ns:
+            self.timeout_ns = learned_ns
+            self._grow_at = now + self._growth_delay
+            # After each failed try of a longer timeout the next try waits twice as long.
+            self._growth_delay = min(2 * self._growth_delay, MAX_GROWTH_DELAY_NS)
+
+    def grow_if_due(self, now: int) -> None:
+        """Raise a learned timeout by half once its growth delay has passed."""
         if self.timeout_ns < self.max_timeout_ns and now >= self._grow_at:
             self.timeout_ns = min(self.timeout_ns * 3 // 2 + MS, self.max_timeout_ns)
-            self._grow_at = now + self._pause
+            self._grow_at = now + self._growth_delay
 
 
 class HttpConnectionPool:
-    """Idle connections by backend, newest first, and by age for giving up."""
+    """All connections to HTTP backends; idle ones are found by backend and by age.
+
+    Implements interfaces.ConnectionPool.
+    """
 
-    __slots__ = ("by_age", "descriptor_count", "dials", "idle", "idle_timeout", "node")
+    __slots__ = (
+        "descriptor_count", "idle_by_age", "idle_by_backend", "idle_timeout", "node",
+        "pending_dials",
+    )  # fmt: skip
 
     def __init__(self, node: HttpNode) -> None:
         self.node = node
-        self.descriptor_count = 0  # descriptors, dials included
-        self.idle: dict[int, list[BackendConnection]] = {}
-        self.by_age: dict[BackendConnection, None] = {}
-        self.dials: set[BackendConnection] = set()  # not made yet
+        self.descriptor_count = 0  # open connections and dials
+        self.idle_by_backend: dict[int, list[BackendConnection]] = {}
+        self.idle_by_age: dict[BackendConnection, None] = {}
+        self.pending_dials: set[BackendConnection] = set()
         self.idle_timeout = AdaptiveIdleTimeout(0)
         self.set_backend_idle_timeout(node.config.backend_idle_timeout)
 
-    def set_backend_idle_timeout(self, closed_after: int) -> None:
-        """Backends close what has been idle for so many nanoseconds, by the settings."""
-        # At their own limit a request would cross their close, and count as a reset: may
-        # have run. What was learnt holds only below the limit it was learnt under.
-        most = max(closed_after - IDLE_MARGIN_NS, closed_after // 2)
-        if most != self.idle_timeout.max_timeout_ns:
-            self.idle_timeout = AdaptiveIdleTimeout(most)
+    def set_backend_idle_timeout(self, backend_timeout_ns: int) -> None:
+        """Derive the pool's idle timeout from the idle timeout of the backends, in nanoseconds."""
+        # A request on a connection as old as the backend's timeout could meet its close on the
+        # way. It would count as a reset, so as one that may have run. A timeout that was learned
+        # under another maximum is discarded.
+        max_timeout_ns = max(backend_timeout_ns - IDLE_MARGIN_NS, backend_timeout_ns // 2)
+        if max_timeout_ns != self.idle_timeout.max_timeout_ns:
+            self.idle_timeout = AdaptiveIdleTimeout(max_timeout_ns)
 
     def send(self, attempt: Attempt) -> None:
+        """Send an attempt on a reusable connection, or on a new one."""
         backend = attempt.backend
         address = self.node.discovery.backend_list.endpoints.get(backend)
         if address is None:
             self.node.conclude(attempt, Outcome.CONNECT_FAILED)
             return
-        while (conn := self.pop(backend, attempt.sent_at)) is not None:
-            if attempt.sent_at - conn.idle_since <= self.idle_timeout.timeout_ns and conn.usable():
+        while (conn := self.take_idle(backend, attempt.sent_at)) is not None:
+            if (
+                attempt.sent_at - conn.idle_since <= self.idle_timeout.timeout_ns
+                and conn.is_usable()
+            ):
                 attempt.connection = conn
-                conn.begin(attempt)
+                conn.start_on_idle(attempt)
                 return
             conn.abandon()
         if not self.node.has_room_for_backend():
-            # Our own want of descriptors says nothing of the backend.
+            # The node is short of descriptors; this is no failure of the backend.
             self.node.conclude(attempt, Outcome.NOT_SENT)
             return
         conn = BackendConnection(self, backend, address)
         attempt.connection = conn
         conn.dial(attempt)
 
-    def pop(self, backend: int, now: int) -> BackendConnection | None:
-        """The newest connection that has rested for a moment, else the newest of all.
+    def take_idle(self, backend: int, now: int) -> BackendConnection | None:
+        """Take the newest connection idle for SETTLED_IDLE_NS, or else the newest of all.
 
-        Some backends close right behind an answer: written to before that end is here,
-        a request counts as one that may have run. Where all are fresh from an answer
-        the newest is taken all the same, for a dial costs the backend work.
+        Some backends close a connection right behind a response. A request that is written
+        before that close arrives counts as one that may have run. If all idle connections have
+        only just received a response, the newest is used even so, because a dial costs the
+        backend work. Returns None if the backend has no idle connection.
         """
-        conns = self.idle.get(backend)
+        conns = self.idle_by_backend.get(backend)
         if not conns:
             return None
-        at = len(conns) - 1
-        for i in range(at, -1, -1):
-            if now - conns[i].idle_since >= SETTLED_NS:
-                at = i
+        index = len(conns) - 1
+        for i in range(index, -1, -1):
+            if now - conns[i].idle_since >= SETTLED_IDLE_NS:
+                index = i
                 break
-        conn = conns.pop(at)
+        conn = conns.pop(index)
         if not conns:
-            del self.idle[backend]
-        del self.by_age[conn]
+            del self.idle_by_backend[backend]
+        del self.idle_by_age[conn]
         return conn
 
     def release(self, conn: BackendConnection) -> None:
-        """Keep a connection for the next attempt, unless its backend has moved, drains or left."""
+        """Keep an idle connection, unless its backend is banned, drains, or has moved or left."""
         node = self.node
         if conn.backend in node.balancer.banned or not node.discovery.backend_list.is_ready(
             conn.backend, conn.address
@@ -742,38 +815,42 @@
             conn.abandon()
             return
         conn.idle_since = time.monotonic_ns()
-        self.idle.setdefault(conn.backend, []).append(conn)
-        self.by_age[conn] = None
-
-    def take_out(self, conn: BackendConnection) -> None:
-        if conn in self.by_age:
-            del self.by_age[conn]
-            conns = self.idle[conn.backend]
+        self.idle_by_backend.setdefault(conn.backend, []).append(conn)
+        self.idle_by_age[conn] = None
+
+    def remove_idle(self, conn: BackendConnection) -> None:
+        """Forget a connection that closes, if it is an idle one."""
+        if conn in self.idle_by_age:
+            del self.idle_by_age[conn]
+            conns = self.idle_by_backend[conn.backend]
             conns.remove(conn)
             if not conns:
-                del self.idle[conn.backend]
+                del self.idle_by_backend[conn.backend]
 
     def drain_backend(self, backend: int) -> None:
-        """Begin nothing more there: dials under way end, and what they would carry never ran."""
-        self.drop_idle(backend)
-        for conn in [c for c in self.dials if c.backend == backend]:
-            conn.withdraw()
-
-    def drop_idle(self, backend: int) -> None:
-        for conn in list(self.idle.get(backend, ())):
+        """Close idle connections and end dials; attempts that wait for a dial never ran."""
+        self.close_idle(backend)
+        for conn in [c for c in self.pending_dials if c.backend == backend]:
+            conn.cancel_dial()
+
+    def close_idle(self, backend: int) -> None:
+        """Close all idle connections to a backend."""
+        for conn in list(self.idle_by_backend.get(backend, ())):
             conn.abandon()
 
     def close_oldest_idle(self) -> bool:
-        """Give up the connection that has been idle longest; False where none is."""
-        conn = next(iter(self.by_age), None)
+        """Close the connection that has been idle longest; returns false if none is idle."""
+        conn = next(iter(self.idle_by_age), None)
         if conn is None:
             return False
         conn.abandon()
         return True
 
     def sweep(self, now: int) -> None:
-        """Close what has been idle for too long to be used."""
-        self.idle_timeout.sweep(now)
-        oldest = now - self.idle_timeout.timeout_ns
-        while (conn := next(iter(self.by_age), None)) is not None and conn.idle_since < oldest:
+        """Close connections that have been idle for longer than the idle timeout."""
+        self.idle_timeout.grow_if_due(now)
+        keep_since = now - self.idle_timeout.timeout_ns
+        while (
+            conn := next(iter(self.idle_by_age), None)
+        ) is not None and conn.idle_since < keep_since:
             conn.abandon()
