--- a/tests/race_harness.py
+++ b/tests/race_harness.py
@@ -142,4 +142,5 @@
 
 
 def run_scenario(harness: RaceHarness, scenario: Coroutine[Any, Any, Any]) -> Any:
+    """Run a test's coroutine on the node's event loop; returns its result."""
     return harness.in_process.run(scenario)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -112,9 +112,8 @@
         async with world(tmp_path, [Behaviour()], plan) as testbed:
             callers = [testbed.caller(f"c{i}") for i in range(3)]
             ends = [await caller.ask("balance") for caller in callers]
-            _, writer = await asyncio.open_connection(
-                "127.0.0.1", testbed.node.port
-            )  # never accepted
+            # The node never accepts this connection.
+            _, writer = await asyncio.open_connection("127.0.0.1", testbed.node.port)
             assert await testbed.becomes_true(lambda: bool(told(tmp_path / "faults.log").faults))
             for _ in range(3):
                 ends += [await caller.ask() for caller in callers]
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -338,9 +338,9 @@
 @pytest.fixture(autouse=True)
 def short_ejection_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
     """Retry ejected backends soon, because the tests wait for them."""
-    monkeypatch.setattr(balancer, "BACKOFF", 20 * MS)
-    monkeypatch.setattr(balancer, "BACKOFF_MAX", 40 * MS)
-    monkeypatch.setattr(balancer, "FULL_REST_MAX", 20 * MS)
+    monkeypatch.setattr(balancer, "EJECTION_BACKOFF_NS", 20 * MS)
+    monkeypatch.setattr(balancer, "MAX_EJECTION_BACKOFF_NS", 40 * MS)
+    monkeypatch.setattr(balancer, "MAX_REJECTION_PAUSE_NS", 20 * MS)
 
 
 @pytest.mark.parametrize("seed", range(40))
