--- a/benchmarks/lease.py
+++ b/benchmarks/lease.py
@@ -214,7 +214,7 @@
 
 def fleet(instances: int, leases: int, seeds: int) -> None:
     names = [f"i{n:03}" for n in range(instances)]
-    terms = LeaseTerms(length=4 * SECOND_NS, renew=SECOND_NS)
+    terms = LeaseTerms(duration_ns=4 * SECOND_NS, renew_interval_ns=SECOND_NS)
     renewals, datagrams, costs, recovered, spreads, leaders = [], [], [], [], [], []
     for seed in range(seeds):
         w = LeaseWorld(names, names[:3], seed, terms=terms, watched=False)
--- a/benchmarks/scale/leases.py
+++ b/benchmarks/scale/leases.py
@@ -57,7 +57,7 @@
     """Leases that all instances would hold, at rest, then one holder dies."""
     names = [f"i{n:04}" for n in range(instances)]
     length = LENGTH_S * shipped.LEASE_SECOND
-    terms = shipped.LeaseTerms(length=length, renew=shipped.LEASE_SECOND)
+    terms = shipped.LeaseTerms(duration_ns=length, renew_interval_ns=shipped.LEASE_SECOND)
     world = shipped.LeaseWorld(names, names[:VOTERS], 1, terms=terms, watched=False)
     world.found()
     world.want([f"task-{n}" for n in range(leases)])
--- a/standins/fleet/leaseworld.py
+++ b/standins/fleet/leaseworld.py
@@ -14,7 +14,7 @@
 
 from tansywood.lease.client import LeaseClient
 from tansywood.lease.context import Peer
-from tansywood.lease.disk import Kept, changes
+from tansywood.lease.disk import DiskContents, plan_write
 from tansywood.lease.fragments import Fragment
 from tansywood.lease.raft import MS, Raft, Timing
 from tansywood.lease.spread import Ranking
@@ -34,7 +34,7 @@
     rate: float = 1.0  # of its clock
     offset: int = 0
     client: LeaseClient | None = None
-    disk: Kept | None = None  # what is synced
+    disk: DiskContents | None = None  # what is synced
     disk_ns: int = 2 * MS  # a synced write takes so long
     failing: bool = False
     stopped: bool = False
@@ -56,7 +56,7 @@
         watched: bool = True,
     ) -> None:
         self.rng = Random(seed)
-        self.terms = terms or LeaseTerms(length=SECOND, renew=SECOND // 4)
+        self.terms = terms or LeaseTerms(duration_ns=SECOND, renew_interval_ns=SECOND // 4)
         self.voters = tuple(voters)
         self.now = 0
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
@@ -121,7 +121,7 @@
 
     def mount(self, place: Place) -> None:
         if place.disk is None:
-            place.disk = Kept(f"{place.name}/{self.rng.randbytes(4).hex()}")
+            place.disk = DiskContents(f"{place.name}/{self.rng.randbytes(4).hex()}")
         assert place.client is not None
         place.client.start_voter(self.clock(place), replace(place.disk))
 
@@ -153,7 +153,7 @@
                 known = {n: replace(r, since=-60 * SECOND) for n, r in place.client.peers.items()}
                 place.client.know(self.clock(place), known | rows, place.client.placement.draining)
                 for gone in known.keys() - rows.keys():
-                    place.client.peers[gone] = replace(known[gone], works=False)
+                    place.client.peers[gone] = replace(known[gone], accepts_leases=False)
 
     def want(self, names: Iterable[str]) -> None:
         """Every instance would do these."""
@@ -195,13 +195,13 @@
             unsaved = voter._unsaved
             if voter.next_write() is not None:
                 assert unsaved is not None
-                made, _ = changes(kept, unsaved, voter.group, voter.known)
+                made, _ = plan_write(kept, unsaved, voter.group, voter.known_saves)
                 self.at(self.now + place.disk_ns, lambda: self._written(place, voter, made))
         for address, fragment in client.take_sends():
             self._send(place, address, fragment)
         self.check()
 
-    def _written(self, place: Place, voter: Voter, made: Kept) -> None:
+    def _written(self, place: Place, voter: Voter, made: DiskContents) -> None:
         client = place.client
         if client is None or client.voter is not voter:
             return  # it ended with the write under way: that write is lost here
@@ -213,7 +213,7 @@
             self.at(self.now + SECOND, lambda: self._again(place, client))
         else:
             place.disk = made
-            voter.written()
+            voter.complete_write()
             client.flush(self.clock(place))
         self.flush(place)
         self.look_at(place, self.now)
--- a/tansywood/lease/client.py
+++ b/tansywood/lease/client.py
@@ -15,7 +15,7 @@
 from tansywood.fleet.events import EventLog
 from tansywood.lease import founding, status
 from tansywood.lease.context import Context, Peer, holder_id
-from tansywood.lease.disk import Kept
+from tansywood.lease.disk import DiskContents
 from tansywood.lease.electorate import Electorate
 from tansywood.lease.exchange import Admission, Exchange
 from tansywood.lease.fragments import Fragment
@@ -35,7 +35,7 @@
 from tansywood.lease.placement import Placement
 from tansywood.lease.raft import LEADER, MS, Timing
 from tansywood.lease.spread import Waiting
-from tansywood.lease.table import Change
+from tansywood.lease.table import TableChange
 from tansywood.lease.terms import LeaseTerms
 from tansywood.lease.voter import Voter
 
@@ -66,7 +66,7 @@
         self.electorate = Electorate(self.context, self._send)
         self.holding = Holding(self.context, self._send_request)
         self.placement = Placement(self.context)
-        self.waiting = Waiting(WAITING_FOR * terms.renew)
+        self.waiting = Waiting(WAITING_FOR * terms.renew_interval_ns)
         self.table: tuple[tuple[str, str, int], ...] = ()  # at one that does not vote: as told last
         self.table_at = -1
         self._next_tend = 0
@@ -134,7 +134,7 @@
 
     # ---- the voter -----------------------------------------------------------------------------
 
-    def start_voter(self, now: int, kept: Kept) -> None:
+    def start_voter(self, now: int, kept: DiskContents) -> None:
         """With what lies on its disk."""
         self.voter = Voter(kept, self.terms, self.timing, self.context.rng, now)
         self.down = ""
@@ -146,14 +146,16 @@
         """Its disk is away or can't be gone by: it is as if it had crashed."""
         self.voter = None
         self.down = why
-        self.waiting = Waiting(WAITING_FOR * self.terms.renew)
+        self.waiting = Waiting(WAITING_FOR * self.terms.renew_interval_ns)
         self.events.add(now, f"votes no more: {why}")
 
     def found(self, now: int, group: str) -> str:
         """Begin a group of voters with this one alone; says why not, or nothing."""
         if self.voter is None:
             return f"no voter here: {self.down or 'the settings name others'}"
-        return self._alone(now, founding.found(self.voter, group, self.electorate.grouped()))
+        return self._alone(
+            now, founding.found(self.voter, group, self.electorate.find_known_group())
+        )
 
     def refound(self, now: int, group: str) -> str:
         """Go on alone from what this disk knows, as another group; says why not, or nothing. See
@@ -167,7 +169,7 @@
             return group
         self.start_voter(now, group.kept)
         assert self.voter is not None
-        self.voter.begin_alone(now, group.snapshot)
+        self.voter.lead_alone(now, group.snapshot)
         self.events.add(now, group.event)
         self.flush(now)
         return ""
@@ -176,8 +178,8 @@
 
     def know(self, now: int, peers: Mapping[str, Peer], draining: bool = False) -> None:
         """Who is there, as the fleet knows it, and whether we are told to drain."""
-        changed = {n: (p.works, p.sure) for n, p in peers.items()} != {
-            n: (p.works, p.sure) for n, p in self.peers.items()
+        changed = {n: (p.accepts_leases, p.is_unsuspected) for n, p in peers.items()} != {
+            n: (p.accepts_leases, p.is_unsuspected) for n, p in self.peers.items()
         }
         self.context.peers = dict(peers)
         if draining != self.placement.draining:
@@ -228,12 +230,14 @@
         if of_a_disk and not self._honest(now, life, fragment):
             return
         if isinstance(message, LOG_MESSAGES):
-            ours, aside = self.admission.ours(self.voter, fragment, message)
+            ours, aside = self.admission.check_group(self.voter, fragment, message)
             self.aside = aside or self.aside
             if not ours:
                 return
         if isinstance(message, VoterAnnouncement):
-            self.electorate.hear(now, name, fragment.sender, fragment.group, message)
+            self.electorate.receive_announcement(
+                now, name, fragment.sender, fragment.group, message
+            )
         else:
             self._take(now, name, life, fragment.sender, fragment.to, message)
         self.flush(now)
@@ -242,7 +246,7 @@
         """Whether a voter's disk has all that it said before; one that has less is told."""
         if self.voter is None:
             return True
-        behind = self.admission.honest(self.voter, life, fragment)
+        behind = self.admission.check_disk(self.voter, life, fragment)
         if behind > 0:
             self._send(now, fragment.sender, DiskBehind(behind))
         return not behind
@@ -280,13 +284,13 @@
 
     def _asked(self, now: int, voter: Voter, ask: LeaseRequest) -> None:
         """A holder's ask, at a voter; where that leads, what another has is waited for."""
-        voter.ask(now, ask)
+        voter.receive_request(now, ask)
         if not voter.leads:
             return
-        for lost, _, _ in ask.give:
+        for lost, _, _ in ask.release:
             self.waiting.rows.get(lost, {}).pop(ask.holder, None)
         table = voter.service.table.leases
-        self.waiting.heard(now, ask.holder, [n for n in ask.take if n in table])
+        self.waiting.heard(now, ask.holder, [n for n in ask.acquire if n in table])
 
     def flush(self, now: int) -> None:
         """Send what may go, grant what has become free."""
@@ -301,7 +305,7 @@
                 break
         self._notice(now)
 
-    def _grant_freed(self, now: int, voter: Voter, changes: list[Change]) -> None:
+    def _grant_freed(self, now: int, voter: Voter, changes: list[TableChange]) -> None:
         freed = [name for change in changes for name in change.freed]
         waited = {w.ask.holder for w in voter.service.waits}
         for holder in {h for change in changes for _, h in change.granted} - waited:
@@ -309,7 +313,7 @@
             self._send(now, holder, GrantNotice())
         table = voter.service.table
         free = [name for name in freed if name not in table.leases]
-        rows = self.waiting.assign(now, free, {h: len(n) for h, n in table.of.items()})
+        rows = self.waiting.assign(now, free, {h: len(n) for h, n in table.names_by_holder.items()})
         if rows:
             voter.grant(now, rows)
 
@@ -365,7 +369,7 @@
             self._next_tend = now + TEND_EVERY
             if voter is not None and voter.leads:
                 self.waiting.sweep(now)
-                self.electorate.tend(now, voter)
+                self.electorate.update_voters(now, voter)
             if self.placement.prefers:
                 self.choose(now)
             self._move(now)
--- a/tansywood/lease/context.py
+++ b/tansywood/lease/context.py
@@ -19,8 +19,8 @@
     address: str
     life: bytes
     since: int  # there since then
-    works: bool = True  # there, neither draining nor leaving
-    sure: bool = True  # and nobody suspects that it is gone
+    accepts_leases: bool = True  # there, neither draining nor leaving
+    is_unsuspected: bool = True  # and nobody suspects that it is gone
 
 
 def holder_id(name: str, life: bytes) -> str:
--- a/tansywood/lease/disk.py
+++ b/tansywood/lease/disk.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct
 
-from tansywood.lease.log import Entry, Saved, Snapshot
+from tansywood.lease.log import Entry, PersistentState, Snapshot
 from tansywood.store.engine import Batch, Store
 
 FORMAT = 1
@@ -36,18 +36,18 @@
     index_term: int
     voters: tuple[str, ...]
     last: int  # of the entries
-    known: dict[str, int] = {}  # of other voters: how many saves they had told of
+    known_saves: dict[str, int] = {}  # of other voters: how many saves they had told of
 
 
 @dataclass(slots=True)
-class Kept:
+class DiskContents:
     """What a disk holds."""
 
     id: str
     group: str = ""
     saves: int = 0
-    saved: Saved = field(default_factory=Saved)
-    known: dict[str, int] = field(default_factory=dict)
+    saved: PersistentState = field(default_factory=PersistentState)
+    known_saves: dict[str, int] = field(default_factory=dict)
 
 
 def entry_key(index: int) -> bytes:
@@ -55,7 +55,7 @@
     return ENTRY + index.to_bytes(8, "big")
 
 
-def load(store: Store) -> Kept | None:
+def load(store: Store) -> DiskContents | None:
     """What was saved last, whole; None of a disk that was never used. DiskError."""
     data = store.get(META)
     if data is None:
@@ -75,16 +75,16 @@
     except msgspec.MsgspecError as err:
         raise DiskError(f"can't be read ({err}): take the disk out and start blank") from None
     snapshot = Snapshot(meta.index, meta.index_term, meta.voters, store.get(SNAPSHOT) or b"")
-    return Kept(
+    return DiskContents(
         meta.id,
         meta.group,
         meta.saves,
-        Saved(meta.term, meta.vote, snapshot, tuple(entries)),
-        dict(meta.known),
+        PersistentState(meta.term, meta.vote, snapshot, tuple(entries)),
+        dict(meta.known_saves),
     )
 
 
-def _common(old: Saved, new: Saved) -> int:
+def _common(old: PersistentState, new: PersistentState) -> int:
     """The last index up to which both logs are the same: equal terms at one index mean equal
     logs up to it (Ongaro, 3.5, log matching)."""
     low = max(old.snapshot.index, new.snapshot.index)
@@ -97,7 +97,9 @@
     return low
 
 
-def changes(kept: Kept, new: Saved, group: str, known: dict[str, int]) -> tuple[Kept, Batch]:
+def plan_write(
+    kept: DiskContents, new: PersistentState, group: str, known: dict[str, int]
+) -> tuple[DiskContents, Batch]:
     """What the disk holds after `new`, and the batch that makes it so."""
     old = kept.saved
     batch = Batch()
@@ -112,13 +114,13 @@
         batch.delete(entry_key(index))
     if new.snapshot.index != old.snapshot.index:
         batch.put(SNAPSHOT, new.snapshot.data)
-    made = Kept(kept.id, group, kept.saves + 1, new, dict(known))
+    made = DiskContents(kept.id, group, kept.saves + 1, new, dict(known))
     batch.put(
         META,
         _encode(
             Meta(
-                FORMAT, made.id, group, made.saves, new.term, new.vote, new.snapshot.index,
-                new.snapshot.term, new.snapshot.voters, last, made.known,
+                FORMAT, made.id, group, made.saves, new.term, new.voted_for, new.snapshot.index,
+                new.snapshot.term, new.snapshot.voters, last, made.known_saves,
             )
         ),
     )  # fmt: skip
--- a/tansywood/lease/electorate.py
+++ b/tansywood/lease/electorate.py
@@ -21,7 +21,7 @@
     id: str
     at: int
     group: str
-    learns: bool
+    is_learner: bool
 
 
 class Electorate:
@@ -34,13 +34,13 @@
         self._send = send
         self._heard: dict[str, _Heard] = {}  # by instance
 
-    def hear(
+    def receive_announcement(
         self, now: int, name: str, sender: str, group: str, announcement: VoterAnnouncement
     ) -> None:
         """Another instance's disk is there."""
-        self._heard[name] = _Heard(sender, now, group, announcement.learns)
+        self._heard[name] = _Heard(sender, now, group, announcement.is_learner)
 
-    def grouped(self) -> tuple[str, str]:
+    def find_known_group(self) -> tuple[str, str]:
         """A disk that is in a group, and that group; empty where none was heard of."""
         heard = [h for h in self._heard.values() if h.group]
         return (heard[0].id, heard[0].group) if heard else ("", "")
@@ -53,14 +53,14 @@
             if name != self._context.name:
                 self._send(now, name, announcement)
 
-    def tend(self, now: int, voter: Voter) -> None:
+    def update_voters(self, now: int, voter: Voter) -> None:
         """Where this voter leads, make the voters those that the settings want, one at a time
         (Ongaro, 4.1): who came back with another disk or is wanted no more goes out, who is there
         and level comes in."""
         there = {
             name: heard.id
             for name, heard in self._heard.items()
-            if now - heard.at <= ANNOUNCED_FOR and (heard.learns or heard.group == voter.group)
+            if now - heard.at <= ANNOUNCED_FOR and (heard.is_learner or heard.group == voter.group)
         }
         there[self._context.name] = voter.id
         if not self._take_out(now, voter, there):
@@ -69,7 +69,7 @@
     def _take_out(self, now: int, voter: Voter, there: dict[str, str]) -> bool:
         """Whether a voter was taken out."""
         voters = voter.raft.voters
-        lately = set(voter.lately(now))
+        lately = set(voter.recently_heard_voters(now))
         for name, old in {name_of(v): v for v in voters}.items():
             gone = name not in self._context.wanted_voters
             replaced = there.get(name, old) != old
@@ -92,9 +92,9 @@
                 continue
             new = there[name]
             if new not in raft.learners:
-                voter.teach(now, new)
+                voter.add_learner(now, new)
                 return
-            if raft.caught_up(new) and now - raft.heard.get(new, 0) <= SECOND:
+            if raft.is_caught_up(new) and now - raft.last_heard_at.get(new, 0) <= SECOND:
                 if not voter.change_voters(now, (*raft.voters, new)):
                     self._context.events.add(now, f"takes {new} into the voters")
                 return
--- a/tansywood/lease/exchange.py
+++ b/tansywood/lease/exchange.py
@@ -10,7 +10,7 @@
 
 from tansywood.lease.context import Context, name_of
 from tansywood.lease.fragments import Fragment, Reassembly, split_message
-from tansywood.lease.log import Append, Install, Message
+from tansywood.lease.log import AppendEntries, InstallSnapshot, Message
 from tansywood.lease.messages import AnyMessage, pack, unpack
 from tansywood.lease.raft import MS
 from tansywood.lease.voter import Voter
@@ -48,7 +48,7 @@
             fragment = Fragment(
                 voter.group if voter is not None else "", sender, to,
                 voter.kept.saves if voter is not None else 0,
-                context.terms.length // MS, self._number, index, len(payloads), data,
+                context.terms.duration_ns // MS, self._number, index, len(payloads), data,
             )  # fmt: skip
             self.sends.append((address, fragment))
 
@@ -56,7 +56,7 @@
         """The message that this fragment of an instance makes whole, if it does. Instances that go
         by another length of leases are not heard, and nobody speaks in another's name."""
         counts = self._context.counts
-        if fragment.length_ms != self._context.terms.length // MS:
+        if fragment.length_ms != self._context.terms.duration_ns // MS:
             counts["length"] += 1
             return None
         if name_of(fragment.sender) != name:
@@ -80,7 +80,7 @@
         self._lives: dict[str, bytes] = {}  # of the processes that speak for voters' disks
         self._past: dict[str, deque[bytes]] = {}
 
-    def honest(self, voter: Voter, life: bytes, fragment: Fragment) -> int:
+    def check_disk(self, voter: Voter, life: bytes, fragment: Fragment) -> int:
         """0 where a voter's disk has all that it said before. One that has less was restored from
         a copy, or lost what it had synced: nothing of it counts, and the number of saves that it
         has told of is returned. -1 for a life that another has followed."""
@@ -90,7 +90,7 @@
         if life in past:
             self._context.counts["stale"] += 1
             return -1
-        most = voter.known.get(sender, 0)
+        most = voter.known_saves.get(sender, 0)
         if known != life:
             if fragment.saves < most:
                 self._context.counts["behind"] += 1
@@ -98,10 +98,12 @@
             if known is not None:
                 past.append(known)
             self._lives[sender] = life
-        voter.known[sender] = max(most, fragment.saves)
+        voter.known_saves[sender] = max(most, fragment.saves)
         return 0
 
-    def ours(self, voter: Voter | None, fragment: Fragment, message: Message) -> tuple[bool, str]:
+    def check_group(
+        self, voter: Voter | None, fragment: Fragment, message: Message
+    ) -> tuple[bool, str]:
         """Whether a message of the log is of our group and for this disk; and why our disk is to be
         put aside for a blank one, if it is."""
         counts = self._context.counts
@@ -111,7 +113,7 @@
         if fragment.group == voter.group:
             return True, ""
         aside = ""
-        teaches = isinstance(message, Append | Install)
+        teaches = isinstance(message, AppendEntries | InstallSnapshot)
         if teaches and name_of(fragment.sender) in self._context.wanted_voters:
             if not voter.group:
                 voter.group = fragment.group  # a blank disk is taken in by who teaches it first
--- a/tansywood/lease/holder.py
+++ b/tansywood/lease/holder.py
@@ -30,7 +30,7 @@
         """The next request to whoever leads. It has to leave now, or never."""
         self.seq += 1
         self._sent.append((self.seq, now))
-        while now - self._sent[0][1] > self.terms.used:
+        while now - self._sent[0][1] > self.terms.holder_duration_ns:
             self._sent.popleft()
         take = tuple(sorted(n for n in self.want if n not in self.leases))
         give = tuple((n, t, to) for n, (t, to) in sorted(self.giving.items()))
@@ -41,7 +41,7 @@
         sent = next((at for seq, at in self._sent if seq == reply.seq), None)
         if not reply.ok or sent is None or reply.seq <= self.heard:
             return False
-        end = sent + self.terms.used
+        end = sent + self.terms.holder_duration_ns
         if end <= now:
             return False
         self.heard = reply.seq
--- a/tansywood/lease/holding.py
+++ b/tansywood/lease/holding.py
@@ -47,7 +47,7 @@
         """Renew what is held and ask for what is wanted, if there is any."""
         holder, terms, rng = self.holder, self._context.terms, self._context.rng
         self._last_ask = now
-        self.next_ask = now + terms.renew
+        self.next_ask = now + terms.renew_interval_ns
         if not (holder.want or holder.leases or holder.giving):
             return
         # Where the last request was not answered whoever led may be gone: everybody is asked, and
@@ -56,7 +56,7 @@
         ask = holder.ask(now)
         self._context.counts["asks"] += 1
         if not known:
-            self.next_ask = now + int(terms.renew * (0.1 + 0.1 * rng.random()))
+            self.next_ask = now + int(terms.renew_interval_ns * (0.1 + 0.1 * rng.random()))
         for to in [self.leader] if known else self._context.wanted_voters:
             self._send(now, to, ask)
 
@@ -71,7 +71,7 @@
                 self.leader = ""
             return
         self.leader = sender
-        self.deaf = {name_of(holder) for holder in reply.deaf}
+        self.deaf = {name_of(holder) for holder in reply.unreachable_holders}
         if self.holder.receive_reply(now, reply):
             for name, token in self.holder.leases.items():
                 if self.got.get(name, (0, 0))[0] != token:
@@ -96,7 +96,7 @@
         if name not in self.holder.leases:
             return f"{name} is not held here"
         peer = self._context.peers.get(to)
-        if to and (peer is None or not peer.works):
+        if to and (peer is None or not peer.accepts_leases):
             return f"{to} is no member that works"
         self.holder.give(name, holder_id(to, peer.life) if peer is not None else "")
         self.holder.lost.append(name)  # whoever acts on it here has to end
--- a/tansywood/lease/log.py
+++ b/tansywood/lease/log.py
@@ -31,64 +31,72 @@
     data: bytes = b""
 
 
-class PreVote(Struct, array_like=True, frozen=True, tag="pv"):
+class PreVoteRequest(Struct, array_like=True, frozen=True, tag="pv"):
     """Would you vote for me in this term? Changes nothing (Ongaro, 9.6)."""
 
     term: Count
-    last: Count
+    last_index: Count
     last_term: Count
 
 
-class PreVoted(Struct, array_like=True, frozen=True, tag="pw"):
+class PreVoteReply(Struct, array_like=True, frozen=True, tag="pw"):
     term: Count
     granted: bool
 
 
-class Vote(Struct, array_like=True, frozen=True, tag="v"):
+class VoteRequest(Struct, array_like=True, frozen=True, tag="v"):
     term: Count
-    last: Count
+    last_index: Count
     last_term: Count
 
 
-class Voted(Struct, array_like=True, frozen=True, tag="w"):
+class VoteReply(Struct, array_like=True, frozen=True, tag="w"):
     term: Count
     granted: bool
 
 
-class Append(Struct, array_like=True, frozen=True, tag="e"):
+class AppendEntries(Struct, array_like=True, frozen=True, tag="e"):
     """Entries behind `prev`, or none: a heartbeat. `round` is counted by the leader."""
 
     term: Count
-    prev: Count
+    prev_index: Count
     prev_term: Count
     entries: Entries
-    commit: Count
+    commit_index: Count
     round: Count
 
 
-class Appended(Struct, array_like=True, frozen=True, tag="f"):
+class AppendEntriesReply(Struct, array_like=True, frozen=True, tag="f"):
     """`match`: all up to it is as the leader's; where not ok, the next try may begin there."""
 
     term: Count
     ok: bool
-    match: Count
+    match_index: Count
     round: Count
 
 
-class Install(Struct, array_like=True, frozen=True, tag="i"):
+class InstallSnapshot(Struct, array_like=True, frozen=True, tag="i"):
     term: Count
     snapshot: Snapshot
     round: Count
 
 
-Message = PreVote | PreVoted | Vote | Voted | Append | Appended | Install
+Message = (
+    PreVoteRequest
+    | PreVoteReply
+    | VoteRequest
+    | VoteReply
+    | AppendEntries
+    | AppendEntriesReply
+    | InstallSnapshot
+)
 
 
-class Saved(Struct, array_like=True, frozen=True):
+class PersistentState(Struct, array_like=True, frozen=True):
     """What a voter's disk holds. A vote or an entry that is not there was never given."""
 
     term: Count = 0
-    vote: str = ""
+    voted_for: str = ""
     snapshot: Snapshot = Snapshot()
     entries: tuple[Entry, ...] = ()
 
--- a/tansywood/lease/messages.py
+++ b/tansywood/lease/messages.py
@@ -6,15 +6,15 @@
 from msgspec import Struct
 
 from tansywood.lease.log import (
-    Append,
-    Appended,
+    AppendEntries,
+    AppendEntriesReply,
     Count,
-    Install,
+    InstallSnapshot,
     Message,
-    PreVote,
-    PreVoted,
-    Vote,
-    Voted,
+    PreVoteReply,
+    PreVoteRequest,
+    VoteReply,
+    VoteRequest,
 )
 
 
@@ -23,9 +23,9 @@
 
     holder: str
     seq: Count
-    take: tuple[str, ...] = ()
-    give: tuple[tuple[str, int, str], ...] = ()  # name, token, to whom
-    heard: Count = 0  # the latest request of which it has the reply
+    acquire: tuple[str, ...] = ()
+    release: tuple[tuple[str, int, str], ...] = ()  # name, token, to whom
+    last_reply_seq: Count = 0  # the latest request of which it has the reply
 
 
 class LeaseReply(Struct, array_like=True, frozen=True, tag="told"):
@@ -35,13 +35,15 @@
     ok: bool
     leases: tuple[tuple[str, int], ...] = ()
     leader: str = ""
-    deaf: tuple[str, ...] = ()  # holders that ask and hear nothing: nothing is to go to them
+    unreachable_holders: tuple[
+        str, ...
+    ] = ()  # holders that ask and hear nothing: nothing is to go to them
 
 
 class VoterAnnouncement(Struct, array_like=True, frozen=True, tag="here"):
     """A voter whose disk is in use, to the other voters' machines."""
 
-    learns: bool = False  # it is in no group's voters that it knows of
+    is_learner: bool = False  # it is in no group's voters that it knows of
 
 
 class DiskBehind(Struct, array_like=True, frozen=True, tag="behind"):
@@ -74,7 +76,15 @@
     | TableReply
 )
 AnyMessage = Message | ClientMessage
-LOG_MESSAGES = (PreVote, PreVoted, Vote, Voted, Append, Appended, Install)
+LOG_MESSAGES = (
+    PreVoteRequest,
+    PreVoteReply,
+    VoteRequest,
+    VoteReply,
+    AppendEntries,
+    AppendEntriesReply,
+    InstallSnapshot,
+)
 
 _encode = msgspec.msgpack.Encoder().encode
 _decoder = msgspec.msgpack.Decoder(AnyMessage)
--- a/tansywood/lease/placement.py
+++ b/tansywood/lease/placement.py
@@ -40,7 +40,7 @@
         """Leases that this instance should have, or wait for."""
         ours = (self.names - self.common) if not self.draining else set()
         if self.common:
-            there = [p.name for p in self._context.peers.values() if p.works]
+            there = [p.name for p in self._context.peers.values() if p.accepts_leases]
             self.ranking.update(self.common, there)
             near = self.ranking.near(self._context.name)
             ours |= near - self.prefers.keys()
@@ -55,7 +55,7 @@
         if self.prefers[name] == self._context.address(self._context.name):
             return True
         owner = [p for p in self._context.peers.values() if p.address == self.prefers[name]]
-        away = not any(p.works and p.sure for p in owner)
+        away = not any(p.accepts_leases and p.is_unsuspected for p in owner)
         return near and away and now - self._born >= STAND_IN
 
     def moves(self, now: int, held: Iterable[str], deaf: set[str]) -> dict[str, str]:
@@ -81,7 +81,7 @@
         return [
             p.name
             for p in self._context.peers.values()
-            if p.works
+            if p.accepts_leases
             and p.name not in deaf
             and (p.name == self._context.name or now - p.since >= SETTLED)
         ]
--- a/tansywood/lease/raft.py
+++ b/tansywood/lease/raft.py
@@ -14,16 +14,24 @@
 
 from __future__ import annotations
 
-from tansywood.lease.log import Append, Install, Message, PreVote, PreVoted, Vote, Voted
+from tansywood.lease.log import (
+    AppendEntries,
+    InstallSnapshot,
+    Message,
+    PreVoteReply,
+    PreVoteRequest,
+    VoteReply,
+    VoteRequest,
+)
 from tansywood.lease.raft_election import Election
 from tansywood.lease.raft_follower import Follower
 from tansywood.lease.raft_state import (
-    ASKING,
     CANDIDATE,
     FOLLOWER,
     LEADER,
     MS,
-    Out,
+    PRE_CANDIDATE,
+    RaftOutput,
     Timing,
 )
 
@@ -39,32 +47,32 @@
         if now < self.due:
             return
         if self.role == LEADER:
-            self.beat(now)
+            self.send_heartbeats(now)
             return
         self.campaign(now)
 
     def receive(self, now: int, sender: str, message: Message) -> None:
         """A message of another, late, doubled or out of order as it may be."""
-        if isinstance(message, PreVote):
+        if isinstance(message, PreVoteRequest):
             self._pre_vote(now, sender, message)
             return
-        if isinstance(message, PreVoted):
+        if isinstance(message, PreVoteReply):
             self._pre_voted(now, sender, message)
             return
-        if isinstance(message, Vote) and self._hears_a_leader(now):
+        if isinstance(message, VoteRequest) and self._hears_a_leader(now):
             return  # one that is cut off, or was taken out, must not unseat it (Ongaro, 4.2.3)
         if message.term > self.term:
             self._follow(now, message.term, "")
-        if isinstance(message, Vote):
-            self._vote(now, sender, message)
-        elif isinstance(message, Voted):
+        if isinstance(message, VoteRequest):
+            self._handle_vote_request(now, sender, message)
+        elif isinstance(message, VoteReply):
             self._voted(now, sender, message)
-        elif isinstance(message, Append):
+        elif isinstance(message, AppendEntries):
             self._appending(now, sender, message)
-        elif isinstance(message, Install):
+        elif isinstance(message, InstallSnapshot):
             self._installing(now, sender, message)
         elif self.role == LEADER and message.term == self.term:
             self._appended(now, sender, message)
 
 
-__all__ = ["ASKING", "CANDIDATE", "FOLLOWER", "LEADER", "MS", "Out", "Raft", "Timing"]
+__all__ = ["PRE_CANDIDATE", "CANDIDATE", "FOLLOWER", "LEADER", "MS", "RaftOutput", "Raft", "Timing"]
--- a/tansywood/lease/raft_state.py
+++ b/tansywood/lease/raft_state.py
@@ -6,30 +6,30 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from tansywood.lease.log import VOTERS, Entry, Message, Saved, Snapshot, voters_of
+from tansywood.lease.log import VOTERS, Entry, Message, PersistentState, Snapshot, voters_of
 
 MS = 1_000_000
-FOLLOWER, ASKING, CANDIDATE, LEADER = "follower", "asking", "candidate", "leader"
+FOLLOWER, PRE_CANDIDATE, CANDIDATE, LEADER = "follower", "asking", "candidate", "leader"
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
     """Nanoseconds. The log is safe whatever they are; they only say how soon it goes on."""
 
-    beat: int = 100 * MS
-    election: int = 500 * MS  # to twice that, drawn anew each time
-    batch: int = 64  # entries in one message
+    heartbeat_interval_ns: int = 100 * MS
+    election_timeout_ns: int = 500 * MS  # to twice that, drawn anew each time
+    max_batch_entries: int = 64  # entries in one message
 
     def __post_init__(self) -> None:
-        if not 0 < 2 * self.beat <= self.election:
+        if not 0 < 2 * self.heartbeat_interval_ns <= self.election_timeout_ns:
             raise ValueError("an election has to wait for two heartbeats at least")
 
 
 @dataclass(slots=True)
-class Out:
+class RaftOutput:
     """What one or several calls ask for, in this order: keep, send, apply."""
 
-    saved: Saved | None = None  # None: nothing new to keep
+    saved: PersistentState | None = None  # None: nothing new to keep
     sends: list[tuple[str, Message]] = field(default_factory=list)
     committed: list[tuple[int, Entry]] = field(default_factory=list)
     installed: Snapshot | None = None  # it goes before what is committed
@@ -38,34 +38,36 @@
 class RaftState:
     """One voter, or one that is to become one."""
 
-    def __init__(self, name: str, saved: Saved, timing: Timing, rng: Random, now: int) -> None:
+    def __init__(
+        self, name: str, saved: PersistentState, timing: Timing, rng: Random, now: int
+    ) -> None:
         self.name = name
         self.timing = timing
         self.rng = rng
         # Kept on the disk:
         self.term = saved.term
-        self.vote = saved.vote
+        self.voted_for = saved.voted_for
         self.snapshot = saved.snapshot
         self.entries: list[Entry] = list(saved.entries)
         # In memory, of every role:
         self.role = FOLLOWER
         self.leader = ""
-        self.commit = self.snapshot.index
+        self.commit_index = self.snapshot.index
         self.applied = self.snapshot.index
-        self.heard_at = -(1 << 62)  # of a leader that lives
+        self.leader_heard_at = -(1 << 62)  # of a leader that lives
         self.votes: set[str] = set()
         # A leader's:
-        self.match: dict[str, int] = {}
-        self.next: dict[str, int] = {}
-        self.acked: dict[str, int] = {}  # the latest round each has acknowledged
-        self.heard: dict[str, int] = {}  # when, of each, by a leader
+        self.match_index: dict[str, int] = {}
+        self.next_index: dict[str, int] = {}
+        self.acknowledged_round: dict[str, int] = {}  # the latest round each has acknowledged
+        self.last_heard_at: dict[str, int] = {}  # when, of each, by a leader
         self.round = 0
         self.learners: tuple[str, ...] = ()
-        self.led_since = 0
-        self.led_from = 0  # the index of the leader's own first entry
+        self.elected_at = 0
+        self.first_own_index = 0  # the index of the leader's own first entry
         self._dirty = False  # something is to be kept
         self._voters: tuple[str, ...] | None = None  # worked out anew where the log was changed
-        self._out = Out()
+        self._out = RaftOutput()
         self.due = now + self._patience()
         if self.snapshot.index:
             self._out.installed = self.snapshot
@@ -73,7 +75,7 @@
     # ---- the log -----------------------------------------------------------------------------
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """Index of the last entry."""
         return self.snapshot.index + len(self.entries)
 
@@ -85,7 +87,7 @@
         """Of an entry that is there, or of the snapshot's last; -1 of what is before it."""
         if index == self.snapshot.index:
             return self.snapshot.term
-        if index < self.snapshot.index or index > self.last:
+        if index < self.snapshot.index or index > self.last_index:
             return -1
         return self.entries[self._position(index)].term
 
@@ -108,22 +110,22 @@
         voters = self.voters
         return 2 * len(set(some) & set(voters)) > len(voters)
 
-    def state(self) -> Saved:
+    def state(self) -> PersistentState:
         """What is to be kept."""
-        return Saved(self.term, self.vote, self.snapshot, tuple(self.entries))
+        return PersistentState(self.term, self.voted_for, self.snapshot, tuple(self.entries))
 
-    def take(self) -> Out:
+    def take(self) -> RaftOutput:
         """What to keep, send and apply since the last take."""
-        out, self._out = self._out, Out()
+        out, self._out = self._out, RaftOutput()
         if self._dirty:
             self._dirty = False
             out.saved = self.state()
-        while self.applied < self.commit:
+        while self.applied < self.commit_index:
             self.applied += 1
             out.committed.append((self.applied, self.entry(self.applied)))
         return out
 
-    def begin_at(self, snapshot: Snapshot) -> None:
+    def reset_to_snapshot(self, snapshot: Snapshot) -> None:
         """Go on from here, whatever the log held: for who founds a group of voters."""
         self.entries.clear()
         self._replace_snapshot(snapshot)
@@ -131,7 +133,7 @@
     def _replace_snapshot(self, snapshot: Snapshot) -> None:
         """Begin the log behind another snapshot, which is committed and applied."""
         self.snapshot = snapshot
-        self.commit = self.applied = snapshot.index
+        self.commit_index = self.applied = snapshot.index
         self._log_changed()
 
     def _log_changed(self) -> None:
@@ -156,13 +158,15 @@
 
     def _patience(self) -> int:
         """How long to wait for a leader before an election, drawn anew."""
-        return self.timing.election + int(self.rng.random() * self.timing.election)
+        return self.timing.election_timeout_ns + int(
+            self.rng.random() * self.timing.election_timeout_ns
+        )
 
     def _follow(self, now: int, term: int, leader: str) -> None:
         """Be a follower in this term, of this leader if it is known."""
         if term > self.term:
             self.term = term
-            self.vote = ""
+            self.voted_for = ""
             self._dirty = True
         if self.role != FOLLOWER or leader:
             self.due = now + self._patience()
--- a/tansywood/lease/service.py
+++ b/tansywood/lease/service.py
@@ -11,15 +11,22 @@
 
 from tansywood.lease.log import COMMAND
 from tansywood.lease.messages import LeaseReply, LeaseRequest
-from tansywood.lease.raft import Out, Raft
-from tansywood.lease.table import Change, End, Give, Table, Take, pack
+from tansywood.lease.raft import Raft, RaftOutput
+from tansywood.lease.table import (
+    AcquireLease,
+    EndHolder,
+    LeaseTable,
+    ReleaseLease,
+    TableChange,
+    pack,
+)
 from tansywood.lease.terms import LeaseTerms
 
 DEAF_MOST = 16  # that are told of
 ASKED_MOST = 4096  # holders whose latest request is remembered
 
 
-def _nobody(_index: int, _change: Change) -> None:
+def _nobody(_index: int, _change: TableChange) -> None:
     pass
 
 
@@ -41,15 +48,17 @@
         self.raft = raft
         self.terms = terms
         self.snapshot_every = snapshot_every
-        self.table = Table.load(raft.snapshot.data)
+        self.table = LeaseTable.load(raft.snapshot.data)
         self.ends: dict[str, int] = {}  # by holder: before then the leader may not end it
         self.waits: list[_Waits] = []
         self.answers: list[tuple[str, LeaseReply]] = []
-        self.changed: Callable[[int, Change], None] = _nobody  # told of each entry, by its index
+        self.changed: Callable[[int, TableChange], None] = (
+            _nobody  # told of each entry, by its index
+        )
         self._led = 0  # the term in which `ends` was begun
         self._floor = 0  # the end of whoever has not asked in it
         self._ticked = 0
-        self._ending: dict[str, int] = {}  # holders whose End is in the log, by its index
+        self._ending: dict[str, int] = {}  # holders whose EndHolder is in the log, by its index
         self._taking: dict[tuple[str, str], int] = {}
         self._asked: dict[str, int] = {}  # the latest of each holder, in this term
         # By holder: the first answer that it has not shown to have heard, when it was given, and
@@ -62,32 +71,32 @@
     def ask(self, now: int, sender: str, ask: LeaseRequest) -> None:
         """A holder's request. Where this one does not lead the reply says who does, at once."""
         raft = self.raft
-        if not raft.settled:
+        if not raft.is_ready_leader:
             self.answers.append((sender, LeaseReply(ask.seq, False, (), raft.leader)))
             return
         self._lead(now)
         if ask.seq <= self._asked.get(ask.holder, 0):
             return  # doubled, or overtaken by a newer one, whose answer says all of it
         self._asked[ask.holder] = ask.seq
-        if ask.heard >= self._unheard.get(ask.holder, (0, 0, 0))[0]:
+        if ask.last_reply_seq >= self._unheard.get(ask.holder, (0, 0, 0))[0]:
             self._unheard.pop(ask.holder, None)
         else:
             self._unheard[ask.holder] = (*self._unheard[ask.holder][:2], now)
         index = 0
-        for name in () if self.deaf(now, ask.holder) else ask.take:
+        for name in () if self.deaf(now, ask.holder) else ask.acquire:
             known = self.table.leases.get(name)
             if known is None and (name, ask.holder) not in self._taking:
-                index = raft.propose(pack(Take(name, ask.holder)))
+                index = raft.propose(pack(AcquireLease(name, ask.holder)))
                 self._taking[name, ask.holder] = index
-        for name, token, to in ask.give:
+        for name, token, to in ask.release:
             known = self.table.leases.get(name)
             if known is not None and known.token == token and known.holder == ask.holder:
-                index = raft.propose(pack(Give(name, token, to)))
+                index = raft.propose(pack(ReleaseLease(name, token, to)))
                 if to:
                     # It does not know yet: from now on it has a whole length to hear of it.
                     self._extend(now, to)
         round_ = raft.begin_round(now)
-        waits = _Waits(sender, ask, round_, max(index, raft.commit), raft.term)
+        waits = _Waits(sender, ask, round_, max(index, raft.commit_index), raft.term)
         self.waits = [w for w in self.waits if w.ask.holder != ask.holder]
         self.waits.append(waits)
         self.after(now)
@@ -96,13 +105,13 @@
         """Propose what is free for one that asked for it before and was too late: as if its
         request had come again. It hears of it by its next request, and lives for a whole length
         until then."""
-        if not self.raft.settled or holder in self._ending or name in self.table.leases:
+        if not self.raft.is_ready_leader or holder in self._ending or name in self.table.leases:
             return False
         if self.deaf(now, holder):
             return False
         self._lead(now)
         if (name, holder) not in self._taking:
-            self._taking[name, holder] = self.raft.propose(pack(Take(name, holder)))
+            self._taking[name, holder] = self.raft.propose(pack(AcquireLease(name, holder)))
             self._extend(now, holder)
         return True
 
@@ -111,12 +120,12 @@
         to it is cut. Kept by its asking alone, what it has would be nobody's for as long as that
         lasts. One that has ended, or wants nothing any more, does not ask."""
         row = self._unheard.get(holder)
-        length = self.terms.length
+        length = self.terms.duration_ns
         return row is not None and row[2] - row[1] > length and now - row[2] <= 2 * length
 
     def after(self, now: int) -> None:
         """After anything that happened to the log: answer what can be answered by now."""
-        if not self.raft.settled:
+        if not self.raft.is_ready_leader:
             for w in self.waits:
                 self.answers.append((w.sender, LeaseReply(w.ask.seq, False, (), self.raft.leader)))
             self.waits.clear()
@@ -126,7 +135,7 @@
         for w in self.waits:
             if w.term != self.raft.term:
                 continue
-            if self.raft.confirmed(w.round) and self.raft.applied >= w.index:
+            if self.raft.is_round_confirmed(w.round) and self.raft.applied >= w.index:
                 self._answer(now, w)
             else:
                 kept.append(w)
@@ -138,7 +147,7 @@
             # Its end is in the log: it is not to hear that it may go on.
             self.answers.append((w.sender, LeaseReply(w.ask.seq, False, (), self.raft.name)))
             return
-        names = sorted(self.table.of.get(holder, ()))
+        names = sorted(self.table.names_by_holder.get(holder, ()))
         if names and self.deaf(now, holder):
             return  # neither told nor extended: it comes to its end
         self._unheard.setdefault(holder, (w.ask.seq, now, now))
@@ -147,7 +156,7 @@
         self.answers.append((w.sender, LeaseReply(w.ask.seq, True, leases, "", self._deaf)))
 
     def _extend(self, now: int, holder: str) -> None:
-        self.ends[holder] = max(self.ends.get(holder, 0), now + self.terms.length)
+        self.ends[holder] = max(self.ends.get(holder, 0), now + self.terms.duration_ns)
 
     def _lead(self, now: int) -> None:
         """At the first look in a term that this one leads: everybody lives for a whole length
@@ -159,12 +168,14 @@
         self._taking.clear()
         self._asked.clear()
         self._unheard.clear()
-        self.ends = {h: self.raft.led_since + self.terms.length for h in self.table.of}
-        self._floor = self.raft.led_since + self.terms.length
+        self.ends = {
+            h: self.raft.elected_at + self.terms.duration_ns for h in self.table.names_by_holder
+        }
+        self._floor = self.raft.elected_at + self.terms.duration_ns
 
     def tick(self, now: int) -> None:
         """End those whose time is over."""
-        if now - self._ticked > self.terms.length // 2 and self._led:
+        if now - self._ticked > self.terms.duration_ns // 2 and self._led:
             # Stopped for long, it has not read what holders asked meanwhile. They get more time.
             for holder in self.ends:
                 self._extend(now, holder)
@@ -172,31 +183,31 @@
         self._deaf = tuple(h for h in self._unheard if self.deaf(now, h))[:DEAF_MOST]
         self.raft.tick(now)
         self.after(now)
-        if not self.raft.settled:
+        if not self.raft.is_ready_leader:
             return
         ended = False
-        for holder in list(self.table.of):
+        for holder in list(self.table.names_by_holder):
             # One whose grant was applied after this one was elected may never have asked it.
-            end = self.ends.setdefault(holder, max(self._floor, now + self.terms.length))
+            end = self.ends.setdefault(holder, max(self._floor, now + self.terms.duration_ns))
             if now >= end and holder not in self._ending:
-                self._ending[holder] = self.raft.propose(pack(End(holder)))
+                self._ending[holder] = self.raft.propose(pack(EndHolder(holder)))
                 ended = True
         if ended:
-            self.raft.beat(now)
+            self.raft.send_heartbeats(now)
 
     def next_due(self) -> int:
         """When `tick` has something to do."""
         due = [self.raft.due]
-        if self.raft.settled:
+        if self.raft.is_ready_leader:
             due += [at for h, at in self.ends.items() if h not in self._ending]
         return min(due)
 
-    def take(self, now: int) -> Out:
+    def take(self, now: int) -> RaftOutput:
         """As `Raft.take`, with what is committed applied to the table. Answers that it makes
         possible are in `answers`, to be sent behind what is to be kept."""
         out = self.raft.take()
         if out.installed is not None:
-            self.table = Table.load(out.installed.data)
+            self.table = LeaseTable.load(out.installed.data)
         for index, entry in out.committed:
             if entry.kind == COMMAND:
                 self.changed(index, self.table.apply(index, entry.data))
@@ -204,13 +215,17 @@
             applied = self.raft.applied
             self._ending = {h: i for h, i in self._ending.items() if i > applied}
             self._taking = {k: i for k, i in self._taking.items() if i > applied}
-            for holder in [h for h in self.ends if h not in self.table.of]:
+            for holder in [h for h in self.ends if h not in self.table.names_by_holder]:
                 if holder not in self._ending:
                     del self.ends[holder]
             if len(self._asked) > ASKED_MOST:
-                self._asked = {h: s for h, s in self._asked.items() if h in self.table.of}
+                self._asked = {
+                    h: s for h, s in self._asked.items() if h in self.table.names_by_holder
+                }
             if len(self._unheard) > ASKED_MOST:
-                self._unheard = {h: r for h, r in self._unheard.items() if h in self.table.of}
+                self._unheard = {
+                    h: r for h, r in self._unheard.items() if h in self.table.names_by_holder
+                }
             self.after(now)
             if applied - self.raft.snapshot.index >= self.snapshot_every:
                 self.raft.compact(applied, self.table.save())
--- a/tansywood/lease/status.py
+++ b/tansywood/lease/status.py
@@ -33,7 +33,7 @@
             + (f"asked by {asked}" if asked else "nobody asked for it lately")
         )
         return sentences
-    since = (now - voter.since.get(name, now)) / SECOND
+    since = (now - voter.granted_at.get(name, now)) / SECOND
     sentences.append(f"{row.holder} holds {name} by token {row.token}, for {since:.1f} s here")
     if voter.leads:
         left = (voter.service.ends.get(row.holder, now) - now) / SECOND
@@ -46,7 +46,7 @@
     raft = voter.raft
     if not raft.leader:
         return [
-            f"no leader since {(now - max(raft.heard_at, 0)) / SECOND:.0f} s: a majority of "
+            f"no leader since {(now - max(raft.leader_heard_at, 0)) / SECOND:.0f} s: a majority of "
             f"{', '.join(raft.voters)} has to reach one another; until then nobody gets a "
             "lease, and whoever holds one loses it when its time is over"
         ]
@@ -62,7 +62,7 @@
         "name": client.name,
         "holder": holder.name,
         "wanted_voters": list(client.wanted_voters),
-        "length_ms": client.terms.length // MS,
+        "length_ms": client.terms.duration_ns // MS,
         "down": client.down,
         "held": [
             {
@@ -102,11 +102,11 @@
         "term": raft.term,
         "leader": raft.leader,
         "voters": list(raft.voters),
-        "commit": raft.commit,
-        "last": raft.last,
+        "commit": raft.commit_index,
+        "last": raft.last_index,
         "saves": voter.kept.saves,
-        "writing": voter.slow,
-        "lately": voter.lately(now),
+        "writing": voter.is_writing,
+        "lately": voter.recently_heard_voters(now),
     }
 
 
@@ -116,6 +116,6 @@
     if voter is None:
         return [(name, holder, token, None) for name, holder, token in client.table]
     return [
-        (name, lease.holder, lease.token, (now - voter.since.get(name, now)) / SECOND)
+        (name, lease.holder, lease.token, (now - voter.granted_at.get(name, now)) / SECOND)
         for name, lease in sorted(voter.service.table.leases.items())
     ]
--- a/tansywood/lease/terms.py
+++ b/tansywood/lease/terms.py
@@ -13,17 +13,17 @@
 class LeaseTerms:
     """The same at every voter and holder."""
 
-    length: int = 4 * SECOND
-    skew: float = 0.1  # by which the rates of two clocks may differ
-    renew: int = SECOND  # between two renewals: three may be lost
+    duration_ns: int = 4 * SECOND
+    max_clock_skew_fraction: float = 0.1  # by which the rates of two clocks may differ
+    renew_interval_ns: int = SECOND  # between two renewals: three may be lost
 
     def __post_init__(self) -> None:
-        if not 0 <= self.skew < 0.5:
+        if not 0 <= self.max_clock_skew_fraction < 0.5:
             raise ValueError("clocks' rates may differ by less than a half")
-        if not 0 < 2 * self.renew <= self.length:
+        if not 0 < 2 * self.renew_interval_ns <= self.duration_ns:
             raise ValueError("a lease has to last for two renewals at least")
 
     @property
-    def used(self) -> int:
+    def holder_duration_ns(self) -> int:
         """How long a holder goes by an answer, from when it asked."""
-        return int(self.length * (1.0 - self.skew))
+        return int(self.duration_ns * (1.0 - self.max_clock_skew_fraction))
--- a/tansywood/lease/voter.py
+++ b/tansywood/lease/voter.py
@@ -13,12 +13,12 @@
 from collections.abc import Iterable
 from random import Random
 
-from tansywood.lease.disk import Kept, changes
-from tansywood.lease.log import Message, Saved, Snapshot
+from tansywood.lease.disk import DiskContents, plan_write
+from tansywood.lease.log import Message, PersistentState, Snapshot
 from tansywood.lease.messages import LeaseReply, LeaseRequest
 from tansywood.lease.raft import LEADER, Raft, Timing
 from tansywood.lease.service import LeaseService
-from tansywood.lease.table import Change, Table
+from tansywood.lease.table import LeaseTable, TableChange
 from tansywood.lease.terms import LeaseTerms
 from tansywood.store.engine import Batch
 
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        kept: Kept,
+        kept: DiskContents,
         terms: LeaseTerms,
         timing: Timing,
         rng: Random,
@@ -40,16 +40,16 @@
     ) -> None:
         self.kept = kept
         self.group = kept.group
-        self.known = dict(kept.known)  # of other voters: saves that they have told of
+        self.known_saves = dict(kept.known_saves)  # of other voters: saves that they have told of
         self.service = LeaseService(
             Raft(kept.id, kept.saved, timing, rng, now), terms, snapshot_every
         )
         self.service.changed = self._changed
-        self.changes: list[Change] = []
-        self.since: dict[str, int] = {}  # when each lease was seen to be granted
+        self.changes: list[TableChange] = []
+        self.granted_at: dict[str, int] = {}  # when each lease was seen to be granted
         self._now = now
-        self._unsaved: Saved | None = None  # to be written next
-        self._writing: tuple[Kept, deque[Send]] | None = None
+        self._unsaved: PersistentState | None = None  # to be written next
+        self._writing: tuple[DiskContents, deque[Send]] | None = None
         self._behind: deque[Send] = deque(maxlen=MOST)  # sent once all above is written
         self._ready: list[Send] = []
 
@@ -66,19 +66,19 @@
     @property
     def leads(self) -> bool:
         """Whether it was elected and has an entry of its own term committed."""
-        return self.raft.settled
+        return self.raft.is_ready_leader
 
-    def _changed(self, _index: int, change: Change) -> None:
+    def _changed(self, _index: int, change: TableChange) -> None:
         self.changes.append(change)
         for name, _ in change.granted:
-            self.since[name] = self._now
+            self.granted_at[name] = self._now
         for name in change.freed:
-            self.since.pop(name, None)
+            self.granted_at.pop(name, None)
 
-    def begin_alone(self, now: int, snapshot: Snapshot) -> None:
+    def lead_alone(self, now: int, snapshot: Snapshot) -> None:
         """Lead a group of this disk alone, from here on, whatever its log held."""
-        self.raft.begin_at(snapshot)
-        self.service.table = Table.load(snapshot.data)
+        self.raft.reset_to_snapshot(snapshot)
+        self.service.table = LeaseTable.load(snapshot.data)
         self.raft.campaign(now)
         self._collect(now)
 
@@ -91,7 +91,7 @@
         self.service.after(now)
         self._collect(now)
 
-    def ask(self, now: int, ask: LeaseRequest) -> None:
+    def receive_request(self, now: int, ask: LeaseRequest) -> None:
         """A holder's ask."""
         self._now = now
         self.service.ask(now, ask.holder, ask)
@@ -107,7 +107,7 @@
         """Several at once, in one round."""
         done = [self.service.grant(now, name, holder) for name, holder in rows]
         if any(done):
-            self.raft.beat(now)
+            self.raft.send_heartbeats(now)
         self._collect(now)
 
     def change_voters(self, now: int, voters: tuple[str, ...]) -> str:
@@ -116,9 +116,9 @@
         self._collect(now)
         return why
 
-    def teach(self, now: int, learner: str) -> None:
+    def add_learner(self, now: int, learner: str) -> None:
         """Send the log to a disk that does not vote yet."""
-        self.raft.teach(now, learner)
+        self.raft.add_learner(now, learner)
         self._collect(now)
 
     def next_due(self) -> int:
@@ -145,13 +145,13 @@
         """What to write now, synced; `written` or the end of this voter is the answer to it."""
         if self._writing is not None or self._unsaved is None:
             return None
-        kept, batch = changes(self.kept, self._unsaved, self.group, self.known)
+        kept, batch = plan_write(self.kept, self._unsaved, self.group, self.known_saves)
         self._unsaved = None
         self._writing = (kept, self._behind)
         self._behind = deque(maxlen=MOST)
         return batch
 
-    def written(self) -> None:
+    def complete_write(self) -> None:
         """What `next_write` gave lies on the disk: what waited for it may go."""
         assert self._writing is not None
         self.kept, sends = self._writing
@@ -167,14 +167,18 @@
         return ready
 
     @property
-    def slow(self) -> bool:
+    def is_writing(self) -> bool:
         """Whether something waits for the disk."""
         return self._writing is not None
 
-    def lately(self, now: int) -> list[str]:
+    def recently_heard_voters(self, now: int) -> list[str]:
         """Voters that a leader has heard from within two elections; itself always."""
         raft = self.raft
         if raft.role != LEADER:
             return []
-        patience = 2 * raft.timing.election
-        return [v for v in raft.voters if v == raft.name or now - raft.heard.get(v, 0) <= patience]
+        patience = 2 * raft.timing.election_timeout_ns
+        return [
+            v
+            for v in raft.voters
+            if v == raft.name or now - raft.last_heard_at.get(v, 0) <= patience
+        ]
--- a/tansywood/service/leases.py
+++ b/tansywood/service/leases.py
@@ -82,7 +82,7 @@
             settings.instance,
             life,
             settings.voters,
-            LeaseTerms(length=length, renew=length // 4),
+            LeaseTerms(duration_ns=length, renew_interval_ns=length // 4),
             Random(int.from_bytes(os.urandom(8), "big")),
         )
         self.disk = VoterDisk(loop, clock, self.client, promises, self.flush, log)
@@ -245,7 +245,7 @@
                             reported = until
                             writer.write(frame({"token": held.token, "until": until}))
                             await writer.drain()
-                        await asyncio.sleep(self.client.terms.renew / SECOND / 4)
+                        await asyncio.sleep(self.client.terms.renew_interval_ns / SECOND / 4)
             except LeaseLost:
                 writer.write(frame({"lost": name}))
                 await writer.drain()
@@ -277,7 +277,7 @@
         elif what == "refound":
             # Whoever holds by disks that are lost holds no longer than this.
             self.log(f"lease: goes on alone in {REFOUND_LEASES:g} leases")
-            await asyncio.sleep(REFOUND_LEASES * self.client.terms.length / SECOND)
+            await asyncio.sleep(REFOUND_LEASES * self.client.terms.duration_ns / SECOND)
             error = self.client.refound(self.clock.now(), os.urandom(8).hex())
         elif what not in ASKS:
             error = f"{what!r} can't be asked: {', '.join(ASKS)}"
--- a/tansywood/service/voterdisk.py
+++ b/tansywood/service/voterdisk.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from tansywood.lease.client import LeaseClient
-from tansywood.lease.disk import DiskError, Kept, load
+from tansywood.lease.disk import DiskContents, DiskError, load
 from tansywood.service.endpoint import Clock
 from tansywood.store import Batch, Store, StoreError
 from tansywood.store.aio import AsyncStore
@@ -57,13 +57,13 @@
             self._flush()
             return
 
-    async def _open(self) -> tuple[Kept, AsyncStore]:
-        def read() -> tuple[Kept, Store]:
+    async def _open(self) -> tuple[DiskContents, AsyncStore]:
+        def read() -> tuple[DiskContents, Store]:
             store = Store.open(self.folder)
             try:
                 kept = load(store)
                 if kept is None:
-                    kept = Kept(f"{self._client.name}/{os.urandom(4).hex()}")
+                    kept = DiskContents(f"{self._client.name}/{os.urandom(4).hex()}")
                 return kept, store
             except BaseException:
                 store.close()
@@ -89,7 +89,7 @@
                 await asyncio.sleep(DISK_AGAIN_S)
                 await self.open()
             return
-        voter.written()
+        voter.complete_write()
         self._client.flush(self._clock.now())
         self._flush()
 
--- a/tansywood/verify/identity.py
+++ b/tansywood/verify/identity.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Hashable
 
 from tansywood.lease.holder import Holder
-from tansywood.lease.log import Saved
-from tansywood.lease.raft import ASKING, CANDIDATE, LEADER
+from tansywood.lease.log import PersistentState
+from tansywood.lease.raft import CANDIDATE, LEADER, PRE_CANDIDATE
 from tansywood.lease.service import LeaseService
 from tansywood.verify.world import World
 
@@ -21,13 +21,14 @@
     )
 
 
-def _voter_key(k: LeaseService, kept: Saved, clock: int) -> Hashable:
+def _voter_key(k: LeaseService, kept: PersistentState, clock: int) -> Hashable:
     r = k.raft
     lead = _leader_key(k, clock) if r.role == LEADER else None
-    votes = tuple(sorted(r.votes)) if r.role in (ASKING, CANDIDATE) else ()
+    votes = tuple(sorted(r.votes)) if r.role in (PRE_CANDIDATE, CANDIDATE) else ()
     return (
-        r.role, r.term, r.vote, r.leader, tuple(r.entries), r.commit, r.applied, votes, lead,
-        kept.term, kept.vote, kept.entries,
+        r.role, r.term, r.voted_for, r.leader, tuple(r.entries), r.commit_index, r.applied, votes,
+        lead,
+        kept.term, kept.voted_for, kept.entries,
     )  # fmt: skip
 
 
@@ -35,12 +36,15 @@
     """What a leader knows of the others and of its holders."""
     r = k.raft
     return (
-        tuple(sorted(r.match.items())),
-        tuple(sorted(r.next.items())),
+        tuple(sorted(r.match_index.items())),
+        tuple(sorted(r.next_index.items())),
         # Only whether what is waited for is confirmed: rounds to come are later ones.
-        tuple((v, sum(at >= w.round for w in k.waits)) for v, at in sorted(r.acked.items())),
-        r.led_from,
-        r.led_since,
+        tuple(
+            (v, sum(at >= w.round for w in k.waits))
+            for v, at in sorted(r.acknowledged_round.items())
+        ),
+        r.first_own_index,
+        r.elected_at,
         tuple(sorted((h, max(e - clock, 0)) for h, e in k.ends.items())),
         k._led,
         k._floor,
@@ -56,5 +60,5 @@
 def _holder_key(h: Holder, now: int) -> Hashable:
     return (
         h.seq, h.heard, max(h.until - now, 0), tuple(sorted(h.leases.items())),
-        tuple((seq, now - at) for seq, at in h._sent if now - at <= h.terms.used),
+        tuple((seq, now - at) for seq, at in h._sent if now - at <= h.terms.holder_duration_ns),
     )  # fmt: skip
--- a/tansywood/verify/leases.py
+++ b/tansywood/verify/leases.py
@@ -15,7 +15,14 @@
 from typing import Any
 
 from tansywood.lease.holder import Holder
-from tansywood.lease.log import Entry, Message, PreVote, Saved, Snapshot, Vote
+from tansywood.lease.log import (
+    Entry,
+    Message,
+    PersistentState,
+    PreVoteRequest,
+    Snapshot,
+    VoteRequest,
+)
 from tansywood.lease.messages import LeaseRequest
 from tansywood.lease.raft import LEADER, Raft
 from tansywood.lease.service import LeaseService
@@ -39,7 +46,7 @@
 
 
 class LeaseModel:
-    """Leases by the shipped LeaseService, Raft, Table and Holder.
+    """Leases by the shipped LeaseService, Raft, LeaseTable and Holder.
 
     It begins with an elected leader, settled, that has heard from everybody, and nothing asked.
     A lease lasts for one move of time.
@@ -47,7 +54,9 @@
 
     def __init__(self, bounds: Bounds, terms: LeaseTerms | None = None) -> None:
         self.bounds = bounds
-        self.terms = terms or LeaseTerms(length=UNIT, skew=0.1, renew=UNIT // 2)
+        self.terms = terms or LeaseTerms(
+            duration_ns=UNIT, max_clock_skew_fraction=0.1, renew_interval_ns=UNIT // 2
+        )
         self.slow = round(UNIT * (1 - 0.1))  # a holder's clock in a move
         self.names = tuple(f"v{n + 1}" for n in range(bounds.voters))
         self.people = tuple(chr(ord("A") + n) for n in range(len(bounds.asks)))
@@ -56,7 +65,7 @@
 
     def begin(self) -> World:
         """The state that the search begins with."""
-        saved = Saved(snapshot=Snapshot(0, 0, self.names))
+        saved = PersistentState(snapshot=Snapshot(0, 0, self.names))
         voters = {n: self._voter(n, saved, 0) for n in self.names}
         world = World(
             voters,
@@ -76,17 +85,17 @@
         world = self.settle(self.act(world, first, lambda k: k.raft.campaign(0)))
         assert world.voters[first].raft.role == LEADER
         # Once more, so that all know what is committed.
-        world = self.settle(self.act(world, first, lambda k: k.raft.beat(0)))
+        world = self.settle(self.act(world, first, lambda k: k.raft.send_heartbeats(0)))
         if self.bounds.held:
             world = self._hold(world, first)
-            world = self.settle(self.act(world, first, lambda k: k.raft.beat(0)))
+            world = self.settle(self.act(world, first, lambda k: k.raft.send_heartbeats(0)))
         if self.bounds.second:
             world = self.act(world, second, lambda k: k.raft.campaign(0))
             world = self.settle(world, without=first)
-            assert world.voters[second].raft.settled
+            assert world.voters[second].raft.is_ready_leader
         return world
 
-    def _voter(self, name: str, saved: Saved, now: int) -> LeaseService:
+    def _voter(self, name: str, saved: PersistentState, now: int) -> LeaseService:
         """As it starts with what its disk holds."""
         return LeaseService(Raft(name, saved, TIMING, NO_CHANCE, now), self.terms)
 
@@ -140,7 +149,7 @@
             made.led = (*made.led, (raft.term, name))
         return made
 
-    def keep(self, old: Saved, new: Saved) -> Saved:
+    def keep(self, old: PersistentState, new: PersistentState) -> PersistentState:
         """What a disk holds after a sync."""
         return new
 
@@ -162,14 +171,14 @@
             return made
         if isinstance(what, LeaseRequest):
             return self.act(world, b, lambda k: k.ask(world.clock, a, what))
-        late = LATE if isinstance(what, PreVote | Vote) else world.clock
+        late = LATE if isinstance(what, PreVoteRequest | VoteRequest) else world.clock
 
         def receive(service: LeaseService) -> None:
             message: Message = what
             service.raft.receive(late, a, message)
             # A time that was only said for the votes' sake is nobody's time.
             if late == LATE:
-                service.raft.led_since = min(service.raft.led_since, world.clock)
+                service.raft.elected_at = min(service.raft.elected_at, world.clock)
             service.after(world.clock)
 
         return self.act(world, b, receive)
@@ -255,7 +264,7 @@
 
     def _beat(self, world: World, name: str) -> Callable[[], World]:
         def go() -> World:
-            made = self.act(world, name, lambda k: k.raft.beat(world.clock))
+            made = self.act(world, name, lambda k: k.raft.send_heartbeats(world.clock))
             made.spent = replace(world.spent, beats=world.spent.beats + 1)
             return made
 
@@ -266,7 +275,7 @@
             service = world.voters[name]
             due = [
                 h
-                for h in service.table.of
+                for h in service.table.names_by_holder
                 if h not in service._ending and world.clock >= service.ends.get(h, 0)
             ]
             if not due:
@@ -275,7 +284,7 @@
             def tick(k: LeaseService) -> None:
                 k._ticked = world.clock
                 k.raft.due = LATE  # heartbeats are a move of their own
-                k.raft.heard = dict.fromkeys(k.raft.heard, world.clock)
+                k.raft.last_heard_at = dict.fromkeys(k.raft.last_heard_at, world.clock)
                 k.tick(world.clock)
 
             return self.act(world, name, tick)
--- a/tansywood/verify/world.py
+++ b/tansywood/verify/world.py
@@ -9,14 +9,14 @@
 from typing import Any
 
 from tansywood.lease.holder import Holder
-from tansywood.lease.log import Entry, Saved
-from tansywood.lease.raft import Out, Timing
+from tansywood.lease.log import Entry, PersistentState
+from tansywood.lease.raft import RaftOutput, Timing
 from tansywood.lease.service import LeaseService
 
 LEASE = "x"
 LATE = 1 << 50  # a time at which nobody has heard of a leader lately
 UNIT = 10  # a voter's clock in one move of time
-TIMING = Timing(beat=1, election=2)
+TIMING = Timing(heartbeat_interval_ns=1, election_timeout_ns=2)
 
 
 class NoChance(Random):
@@ -67,7 +67,7 @@
     voters: dict[str, LeaseService]
     holders: dict[str, Holder]
     net: frozenset[Packet]
-    kept: dict[str, Saved]
+    kept: dict[str, PersistentState]
     clock: int
     spent: Spent
     led: tuple[tuple[int, str], ...]  # who led in which term
@@ -93,9 +93,9 @@
     """A voter that may be changed without the state that it comes from."""
     made: LeaseService = fork(service)
     made.raft = fork(service.raft)
-    made.raft._out = Out()
+    made.raft._out = RaftOutput()
     table = fork(service.table)
-    table.of = {h: set(names) for h, names in service.table.of.items()}
+    table.names_by_holder = {h: set(names) for h, names in service.table.names_by_holder.items()}
     made.table = table
     made.waits = [copy(w) for w in service.waits]
     return made
--- a/tests/lease/test_checker.py
+++ b/tests/lease/test_checker.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tansywood.lease.holder import Holder
-from tansywood.lease.log import Saved
+from tansywood.lease.log import PersistentState
 from tansywood.lease.raft import FOLLOWER, LEADER, Raft
 from tansywood.lease.service import LeaseService
 from tansywood.lease.terms import LeaseTerms
@@ -50,8 +50,8 @@
 
 def test_without_a_durable_vote() -> None:
     class Forgets(LeaseModel):
-        def keep(self, old: Saved, new: Saved) -> Saved:
-            return Saved(new.term, "", new.snapshot, new.entries)
+        def keep(self, old: PersistentState, new: PersistentState) -> PersistentState:
+            return PersistentState(new.term, "", new.snapshot, new.entries)
 
     made = found(ELECTIONS, Forgets)
     assert made.broken == "two lead in term 1"
@@ -60,26 +60,31 @@
 
 def test_without_durable_entries() -> None:
     class Forgets(LeaseModel):
-        def keep(self, old: Saved, new: Saved) -> Saved:
-            return Saved(new.term, new.vote, new.snapshot, old.entries)
+        def keep(self, old: PersistentState, new: PersistentState) -> PersistentState:
+            return PersistentState(new.term, new.voted_for, new.snapshot, old.entries)
 
     made = found(Bounds(asks=(0, 1), elections=1, crashes=1, times=0, held=False), Forgets)
     assert "committed" in made.broken or "two holders" in made.broken
 
 
 def test_without_the_margin_between_two_clocks() -> None:
-    made = found(EXPIRY, terms=LeaseTerms(length=UNIT, skew=0.0, renew=UNIT // 2))
+    made = found(
+        EXPIRY,
+        terms=LeaseTerms(
+            duration_ns=UNIT, max_clock_skew_fraction=0.0, renew_interval_ns=UNIT // 2
+        ),
+    )
     assert made.broken.startswith("two holders may act")
 
 
 def test_without_one_vote_a_term(monkeypatch: Patch) -> None:
-    voted = Raft._vote
+    voted = Raft._handle_vote_request
 
     def again(self: Raft, now: int, sender: str, message: Any) -> None:
-        self.vote = "" if self.role == FOLLOWER else self.vote
+        self.voted_for = "" if self.role == FOLLOWER else self.voted_for
         voted(self, now, sender, message)
 
-    monkeypatch.setattr(Raft, "_vote", again)
+    monkeypatch.setattr(Raft, "_handle_vote_request", again)
     # A vote for a term that is over is forgotten by the search: here it is not over for anybody.
     monkeypatch.setattr(LeaseModel, "dead", lambda self, world, packet: False)
     assert found(ELECTIONS).broken == "two lead in term 1"
@@ -91,7 +96,7 @@
 
 
 def test_without_a_log_as_new_as_the_voters(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(Raft, "_newer", lambda self, last_term, last: True)
+    monkeypatch.setattr(Raft, "_is_log_up_to_date", lambda self, last_term, last: True)
     assert found(COMMITS).broken == "two entries were committed at 2"
 
 
@@ -109,7 +114,7 @@
 
 
 def test_without_a_round_that_confirms_the_leader(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(Raft, "confirmed", lambda self, round_: self.role == LEADER)
+    monkeypatch.setattr(Raft, "is_round_confirmed", lambda self, round_: self.role == LEADER)
     made = found(RENEWAL)
     assert made.broken.startswith("two holders may act")
 
--- a/tests/lease/test_client.py
+++ b/tests/lease/test_client.py
@@ -9,7 +9,7 @@
 
 from standins.fleet.leaseworld import Broken, LeaseWorld
 from tansywood.lease.client import LeaseClient
-from tansywood.lease.disk import Kept
+from tansywood.lease.disk import DiskContents
 from tansywood.lease.fragments import FRAGMENT_BYTES, Fragment, Reassembly, split_message
 from tansywood.lease.messages import LeaseRequest
 from tansywood.lease.raft import MS
@@ -17,7 +17,7 @@
 from tansywood.lease.spread import NEAR, Ranking
 from tansywood.lease.terms import SECOND, LeaseTerms
 
-TERMS = LeaseTerms(length=SECOND, renew=SECOND // 4)
+TERMS = LeaseTerms(duration_ns=SECOND, renew_interval_ns=SECOND // 4)
 LEASES = [f"l{n}" for n in range(6)]
 
 
@@ -89,7 +89,9 @@
 
 def test_without_the_margin_between_two_clocks_it_breaks() -> None:
     def play(skew: float) -> None:
-        terms = LeaseTerms(length=SECOND, skew=skew, renew=SECOND // 4)
+        terms = LeaseTerms(
+            duration_ns=SECOND, max_clock_skew_fraction=skew, renew_interval_ns=SECOND // 4
+        )
         w = world(3, terms=terms, rates=(1.08, 1.08, 1.08, 0.92, 0.92))
         for name in "dede":
             w.cut = {(name, n) for n in "abc"} | {(n, name) for n in "abc"}
@@ -193,7 +195,7 @@
     w = world()
     client = w.places["e"].client
     assert client is not None
-    client.terms = replace(TERMS, length=2 * SECOND)
+    client.terms = replace(TERMS, duration_ns=2 * SECOND)
     client.holder.terms = client.terms
     w.run(3.0)
     assert "e" not in w.held().values()
@@ -345,7 +347,7 @@
 def test_a_blank_disk_is_founded_once() -> None:
     client = LeaseClient("a", b"1" * 16, ("a",), TERMS, Random(1))
     assert "no voter here" in client.found(0, "g")
-    client.start_voter(0, Kept("a/1"))
+    client.start_voter(0, DiskContents("a/1"))
     assert client.found(0, "g") == ""
     assert "being written" in client.found(0, "h") or "already" in client.found(0, "h")
 
--- a/tests/lease/test_disk.py
+++ b/tests/lease/test_disk.py
@@ -8,8 +8,8 @@
 import pytest
 
 from standins.disk import Crash, Disk
-from tansywood.lease.disk import DiskError, Kept, changes, entry_key, load
-from tansywood.lease.log import COMMAND, Entry, Saved, Snapshot
+from tansywood.lease.disk import DiskContents, DiskError, entry_key, load, plan_write
+from tansywood.lease.log import COMMAND, Entry, PersistentState, Snapshot
 from tansywood.store import Store
 
 
@@ -17,36 +17,38 @@
     return Store.open(files=disk, segment_bytes=4096, least_garbage=512)
 
 
-def step(rng: Random, saved: Saved) -> Saved:
+def step(rng: Random, saved: PersistentState) -> PersistentState:
     """A vote, entries, a tail that another leader cut, a snapshot: as Raft may ask for."""
     kind = rng.randrange(5)
     entries, snapshot = list(saved.entries), saved.snapshot
     last = snapshot.index + len(entries)
     if kind == 0:
-        return Saved(saved.term + 1, rng.choice("abc"), snapshot, saved.entries)
+        return PersistentState(saved.term + 1, rng.choice("abc"), snapshot, saved.entries)
     if kind == 1 and entries:
         at = rng.randrange(len(entries))
         term = saved.term + 1
         row = tuple(Entry(term, COMMAND, rng.randbytes(9)) for _ in range(rng.randrange(3)))
-        return Saved(term, "", snapshot, (*entries[:at], *row))
+        return PersistentState(term, "", snapshot, (*entries[:at], *row))
     if kind == 2 and len(entries) > 3:
         index = snapshot.index + rng.randrange(1, len(entries) + 1)
         term = entries[index - snapshot.index - 1].term
         rest = tuple(entries[index - snapshot.index :])
-        return Saved(saved.term, saved.vote, Snapshot(index, term, ("a",), b"table"), rest)
+        return PersistentState(
+            saved.term, saved.voted_for, Snapshot(index, term, ("a",), b"table"), rest
+        )
     if kind == 3 and rng.random() < 0.2:
         whole = Snapshot(last + rng.randrange(1, 9), saved.term, ("a", "b"), rng.randbytes(50))
-        return Saved(saved.term, saved.vote, whole, ())
+        return PersistentState(saved.term, saved.voted_for, whole, ())
     more = [Entry(saved.term, COMMAND, rng.randbytes(20)) for _ in range(rng.randrange(1, 5))]
-    return Saved(saved.term, saved.vote, snapshot, (*entries, *more))
+    return PersistentState(saved.term, saved.voted_for, snapshot, (*entries, *more))
 
 
-def play(disk: Disk, seed: int, told: Callable[[Kept], None]) -> None:
+def play(disk: Disk, seed: int, told: Callable[[DiskContents], None]) -> None:
     rng = Random(seed)
     store = opened(disk)
-    kept = Kept("a/1", "g")
+    kept = DiskContents("a/1", "g")
     for _ in range(60):
-        made, batch = changes(kept, step(rng, kept.saved), "g", {"b/2": kept.saves})
+        made, batch = plan_write(kept, step(rng, kept.saved), "g", {"b/2": kept.saves})
         told(made)  # on its way
         store.write(batch, durable=True)
         kept = made
@@ -54,8 +56,8 @@
     store.close()
 
 
-def plain(kept: Kept) -> tuple[object, ...]:
-    return kept.id, kept.group, kept.saves, kept.saved, kept.known
+def plain(kept: DiskContents) -> tuple[object, ...]:
+    return kept.id, kept.group, kept.saves, kept.saved, kept.known_saves
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -66,7 +68,7 @@
     play(whole, seed, lambda _kept: None)
     for number in range(1, whole.count + 1, 3):
         disk = Disk()
-        said: list[Kept] = []
+        said: list[DiskContents] = []
 
         def before(count: int, _what: str, number: int = number) -> None:
             if count == number:
@@ -93,8 +95,8 @@
     store.put(b"other", b"thing")
     with pytest.raises(DiskError, match="name another"):
         load(store)
-    made, batch = changes(
-        Kept("a/1"), Saved(1, "", Snapshot(), (Entry(1, 0), Entry(1, 0))), "g", {}
+    made, batch = plan_write(
+        DiskContents("a/1"), PersistentState(1, "", Snapshot(), (Entry(1, 0), Entry(1, 0))), "g", {}
     )
     store.write(batch)
     store.delete(entry_key(1))
--- a/tests/lease/test_raft.py
+++ b/tests/lease/test_raft.py
@@ -11,15 +11,22 @@
 
 from tansywood.lease.fence import Fence, Refused
 from tansywood.lease.holder import Holder
-from tansywood.lease.log import COMMAND, Message, Saved, Snapshot
+from tansywood.lease.log import COMMAND, Message, PersistentState, Snapshot
 from tansywood.lease.messages import LeaseReply, LeaseRequest
 from tansywood.lease.raft import LEADER, MS, Raft, Timing
 from tansywood.lease.service import LeaseService
-from tansywood.lease.table import End, Give, Table, TableError, Take, pack
+from tansywood.lease.table import (
+    AcquireLease,
+    EndHolder,
+    LeaseTable,
+    ReleaseLease,
+    TableError,
+    pack,
+)
 from tansywood.lease.terms import LeaseTerms
 
 SECOND = 1000 * MS
-TERMS = LeaseTerms(length=2 * SECOND, renew=SECOND // 2)
+TERMS = LeaseTerms(duration_ns=2 * SECOND, renew_interval_ns=SECOND // 2)
 
 
 class Cluster:
@@ -32,8 +39,8 @@
         self.count = 0
         self.loss = 0.0
         self.cut: set[tuple[str, str]] = set()
-        saved = Saved(snapshot=Snapshot(0, 0, tuple(sorted(voters))))
-        self.kept = {n: saved if n in voters else Saved() for n in disks or voters}
+        saved = PersistentState(snapshot=Snapshot(0, 0, tuple(sorted(voters))))
+        self.kept = {n: saved if n in voters else PersistentState() for n in disks or voters}
         self.services: dict[str, LeaseService] = {}
         self.holders: dict[str, Holder] = {}
         self.log: dict[int, Any] = {}
@@ -59,7 +66,7 @@
             out = service.take(self.now)
             if out.saved is not None:
                 self.kept[name] = msgspec.msgpack.decode(
-                    msgspec.msgpack.encode(out.saved), type=Saved
+                    msgspec.msgpack.encode(out.saved), type=PersistentState
                 )
             for to, message in out.sends:
                 self.send(name, to, message)
@@ -116,7 +123,7 @@
 
     @property
     def leader(self) -> LeaseService:
-        led = [k for k in self.services.values() if k.raft.settled]
+        led = [k for k in self.services.values() if k.raft.is_ready_leader]
         return max(led, key=lambda k: k.raft.term)
 
 
@@ -164,11 +171,11 @@
     c.hold("A", *(f"l{n}" for n in range(300)))
     c.run(3.0)
     assert len(c.holders["A"].leases) == 300
-    before = c.leader.raft.commit
+    before = c.leader.raft.commit_index
     del c.holders["A"]
     c.run(3.0)
     assert not c.leader.table.leases
-    assert c.leader.raft.commit == before + 1
+    assert c.leader.raft.commit_index == before + 1
 
 
 def test_nobody_acts_without_a_majority_and_all_goes_on_after() -> None:
@@ -241,7 +248,9 @@
 
 
 def test_a_change_waits_for_an_entry_of_the_leaders_own_term() -> None:
-    raft = Raft("v1", Saved(snapshot=Snapshot(0, 0, ("v1", "v2", "v3"))), Timing(), Random(1), 0)
+    raft = Raft(
+        "v1", PersistentState(snapshot=Snapshot(0, 0, ("v1", "v2", "v3"))), Timing(), Random(1), 0
+    )
     assert raft.change_voters(0, ("v1", "v2")) == "not the leader"
     raft._elect(0)
     raft._lead(0)
@@ -253,19 +262,19 @@
     c.run(2.0)
     gone = next(n for n in c.kept if n != c.leader.raft.name)
     del c.services[gone]
-    c.kept["v9"] = Saved()  # the same machine, another disk
+    c.kept["v9"] = PersistentState()  # the same machine, another disk
     c.start("v9")
     c.run(3.0)
     blank = c.services["v9"].raft
-    assert (blank.term, blank.vote, blank.role) == (0, "", "follower")
+    assert (blank.term, blank.voted_for, blank.role) == (0, "", "follower")
     leader = c.leader.raft
-    leader.teach(c.now, "v9")
+    leader.add_learner(c.now, "v9")
     c.flush(leader.name)
     c.run(1.0)
-    assert leader.caught_up("v9")
+    assert leader.is_caught_up("v9")
     change(c, "v1", "v2", "v3", "v9")
     change(c, *(n for n in ("v1", "v2", "v3", "v9") if n != gone))
-    assert c.services["v9"].raft.last == c.leader.raft.last
+    assert c.services["v9"].raft.last_index == c.leader.raft.last_index
 
 
 def test_a_voter_far_behind_is_given_the_whole() -> None:
@@ -317,9 +326,11 @@
     h = Holder("A", TERMS)
     h.want.add("x")
     ask = h.ask(0)
-    assert ask.take == ("x",)
+    assert ask.acquire == ("x",)
     assert h.receive_reply(5, LeaseReply(ask.seq, True, (("x", 7),)))
-    assert h.may(TERMS.used - 1, "x") == 7 and not h.may(TERMS.used, "x")
+    assert h.may(TERMS.holder_duration_ns - 1, "x") == 7 and not h.may(
+        TERMS.holder_duration_ns, "x"
+    )
     late = h.ask(SECOND)
     after_its_end = LeaseReply(late.seq, True, (("x", 7),))
     assert not h.receive_reply(9 * SECOND, after_its_end)
@@ -342,19 +353,19 @@
 
 
 def test_a_table_lasts_and_refuses_what_it_cannot_read() -> None:
-    t = Table()
-    t.apply(1, pack(Take("x", "A")))
-    t.apply(2, pack(Take("x", "B")))  # it is taken
-    t.apply(3, pack(Give("x", 9)))  # another token: nothing
+    t = LeaseTable()
+    t.apply(1, pack(AcquireLease("x", "A")))
+    t.apply(2, pack(AcquireLease("x", "B")))  # it is taken
+    t.apply(3, pack(ReleaseLease("x", 9)))  # another token: nothing
     assert t.leases["x"].holder == "A"
-    t.apply(4, pack(Give("x", 1, "B")))
+    t.apply(4, pack(ReleaseLease("x", 1, "B")))
     assert (t.leases["x"].holder, t.leases["x"].token) == ("B", 4)
-    again = Table.load(t.save())
-    assert (again.leases, again.of, again.index) == (t.leases, t.of, 4)
-    again.apply(5, pack(End("B")))
-    assert not again.leases and not again.of
+    again = LeaseTable.load(t.save())
+    assert (again.leases, again.names_by_holder, again.index) == (t.leases, t.names_by_holder, 4)
+    again.apply(5, pack(EndHolder("B")))
+    assert not again.leases and not again.names_by_holder
     with pytest.raises(TableError, match="entry 6"):
         again.apply(6, b"\xc1")
     with pytest.raises(TableError, match="snapshot"):
-        Table.load(b"\xc1")
+        LeaseTable.load(b"\xc1")
     assert COMMAND == 2
