--- a/tansywood/fleet/__init__.py
+++ b/tansywood/fleet/__init__.py
@@ -1,6 +1,7 @@
-"""Several instances whose choices add up: members, allocation of limits, turns, signals.
+"""A fleet of instances that share tenants' limits: membership, allocation, turns, evidence.
 
-Pure rules (`members`, `allocation`, `maxmin`, `subsets`, `turns`, `signals`, `instance`): no I/O
-and no clock, times are passed in as nanoseconds of one process's monotonic clock and never leave
-it. Thin I/O around them (`seal`, `agent`, `tool`). docs/design/fleet.md says why it is so.
+The rules are pure (`members`, `allocation`, `maxmin`, `subsets`, `turns`, `signals`, `instance`):
+they do no I/O and read no clock. Times are passed in as nanoseconds of one process's monotonic
+clock and are never sent to another process. `seal` encrypts datagrams; the sockets are outside
+this package. docs/design/fleet.md gives the reasons for the design.
 """
--- a/tansywood/fleet/members.py
+++ b/tansywood/fleet/members.py
@@ -1,17 +1,18 @@
-"""Who is in the fleet: SWIM with Lifeguard's suspicion. Pure; times are passed in.
+"""Fleet membership: SWIM with Lifeguard's suspicion. Pure; times are passed in.
 
 Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 Protocol" (DSN 2002). Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More
-Accurate Failure Detection" (DSN-W 2018), all three of its parts: the local health count, the
-suspicion that ends sooner the more suspect, and the word to the suspect first.
+Accurate Failure Detection" (DSN-W 2018). All three parts of Lifeguard are here: the local health
+count, the suspicion that ends sooner the more members confirm it, and the rule that a suspect is
+told of its suspicion before any other update.
 
-What is known here is soft. It is good for choosing turns and for telling people; no limit is ever
-wider for it (see `allocation`).
+Membership is a belief and can be wrong. It may be used to choose turns and to inform operators; no
+limit may be raised because of it (see `allocation`).
 
-A record is ordered by its life first (`born`, then the life's bytes), then by incarnation, then by
-state: alive, suspect, lost, left. So old news that comes after newer changes nothing, a member
-that is taken for lost comes back by the next incarnation, and a process that starts anew under its
-name goes before the one it was.
+A life is one run of a process, named by 16 random bytes. Records of one member are ordered by life
+(`born`, then the life's bytes), then by incarnation, then by state: alive, suspect, lost, left. An
+old update that arrives after a newer one therefore changes nothing, a member that was declared lost
+returns with its next incarnation, and a restarted process replaces its earlier life.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 class State(IntEnum):
-    """Of a member. Greater goes before smaller within one incarnation."""
+    """State of a member; within one incarnation the greater value overrides the smaller."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -37,26 +38,26 @@
     LEFT = 3
 
 
-PERIOD = 500 * MS  # between two probes, while all is well
-TIMEOUT = 200 * MS  # for a direct answer; the rest of the period is for indirect ones
-NACK_PART = 0.8  # of the timeout, after which a helper says that it has heard nothing
-HELPERS = 3
-ALPHA = 4.0  # the shortest suspicion, in periods times log10 of the fleet
-BETA = 6.0  # the longest, in shortest ones
-CONFIRMATIONS = 3  # by others, at which the shortest is reached
-HEALTH_MOST = 8
-SPREAD = 4  # times log10 of the fleet that an update is told by each
-NEWS = 6  # updates in one datagram
-SYNC_INTERVAL_NS = 10 * SECOND  # between two exchanges of all that is believed
-SYNC_NEW = 250 * MS  # while nobody has answered yet
-AGAIN = 5 * SECOND  # between two looks for somebody lost, or a first address not heard of
-FORGET = 60 * SECOND  # a lost or left member is remembered so long; old news cannot raise it
-SYNC_ROWS = 12  # members in one datagram
+PROBE_INTERVAL_NS = 500 * MS  # between two probes while the local health count is 0
+PROBE_TIMEOUT_NS = 200 * MS  # for a direct answer; indirect ones have the rest of the interval
+NACK_TIMEOUT_FRACTION = 0.8  # of the probe timeout; then a helper reports no answer
+INDIRECT_PROBE_COUNT = 3  # members asked to probe a target that did not answer
+MIN_SUSPICION_MULTIPLIER = 4.0  # shortest suspicion: probe intervals times log10(fleet)
+MAX_TO_MIN_SUSPICION_RATIO = 6.0  # longest suspicion over the shortest one
+CONFIRMATION_COUNT = 3  # by other members, at which a suspicion is the shortest
+MAX_HEALTH_COUNT = 8  # probe intervals and timeouts grow up to this plus one times
+GOSSIP_MULTIPLIER = 4  # each member sends an update this often, times log10 of the fleet
+MAX_GOSSIP_UPDATES = 6  # in one datagram
+SYNC_INTERVAL_NS = 10 * SECOND  # between two exchanges of all member records
+JOIN_SYNC_INTERVAL_NS = 250 * MS  # while no other member is known
+RECONNECT_INTERVAL_NS = 5 * SECOND  # between contacts of a lost member or an unknown seed address
+GONE_MEMBER_RETENTION_NS = 60 * SECOND  # of lost and left members: old updates can't revive them
+MAX_SYNC_UPDATES = 12  # in one datagram
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Something to tell people: who, what became of it, and why."""
+    """A change for operators to read: the member's name, what changed, and why."""
 
     name: str
     what: str  # joined, suspect, lost, back, left, drains, taken, conflict
@@ -65,22 +66,22 @@
 
 @dataclass(slots=True)
 class Member:
-    """One as believed here."""
+    """A member as this instance believes it to be; times in nanoseconds."""
 
     update: MemberUpdate
-    since: int
-    ends: int = 0  # of its suspicion
+    since: int  # when its record last changed
+    suspicion_ends_at: int = 0
     accusers: set[str] = field(default_factory=set)
-    begun: int = 0
+    suspected_at: int = 0
 
     @property
     def state(self) -> State:
-        """As its newest update says."""
+        """The state in the newest update."""
         return State(self.update.state)
 
     @property
     def present(self) -> bool:
-        """Whether it counts as a member: neither lost nor left."""
+        """Whether the member is neither lost nor left."""
         return self.update.state <= State.SUSPECT
 
 
@@ -88,31 +89,31 @@
 class _Probe:
     seq: int
     target: str
-    asked_at: int
-    indirect_at: int
-    ends: int
-    helped: bool = False
-    helpers: int = 0
-    nacks: int = 0
+    sent_at: int  # times in nanoseconds
+    indirect_probe_at: int
+    deadline: int
+    indirect_sent: bool = False
+    helper_count: int = 0
+    nack_count: int = 0
 
 
 @dataclass(slots=True)
 class _RelayedProbe:
-    """A probe made for another member."""
+    """A probe that another member, the requester, asked this instance to send."""
 
-    asker: str
-    their_seq: int
+    requester: str
+    requester_seq: int
     nack_at: int
-    ends: int
+    deadline: int
 
 
 def rank(update: MemberUpdate) -> tuple[int, bytes, int, int]:
-    """The order of two records of one name: the greater is the newer."""
+    """Sort key for records of one name: the greater one is the newer."""
     return (update.born, update.life, update.incarnation, update.state)
 
 
-def _change(old: Member | None, new: MemberUpdate, state: State) -> str:
-    """What became of a member, in a word; empty where there is nothing to tell."""
+def _describe_change(old: Member | None, new: MemberUpdate, state: State) -> str:
+    """The change of a member as one word for an event; empty where there is none to report."""
     if state != State.ALIVE:
         return state.name.lower()
     if old is None:
@@ -124,56 +125,59 @@
     return "restarted" if new.life != old.update.life else ""
 
 
-def longest(n: int) -> int:
-    """How long a member of a fleet of n is suspect at most."""
-    return int(BETA * shortest(n))
+def max_suspicion_ns(n: int) -> int:
+    """Longest time that a member of a fleet of n stays suspect, in nanoseconds."""
+    return int(MAX_TO_MIN_SUSPICION_RATIO * min_suspicion_ns(n))
 
 
-def shortest(n: int) -> int:
-    """How long a member of a fleet of n is suspect at least, in nanoseconds."""
-    return int(ALPHA * max(1.0, math.log10(max(n, 1))) * PERIOD)
+def min_suspicion_ns(n: int) -> int:
+    """Shortest time that a member of a fleet of n stays suspect, in nanoseconds."""
+    return int(MIN_SUSPICION_MULTIPLIER * max(1.0, math.log10(max(n, 1))) * PROBE_INTERVAL_NS)
 
 
-Send = Callable[[str, Body], None]  # to an address
+Send = Callable[[str, Body], None]  # sends a message to an address
 
 
 class Members:
-    """The fleet as one instance believes it to be. `send(address, body)` is called within."""
+    """The members of the fleet as one instance believes them to be.
+
+    Messages leave through `send(address, body)`, which the methods call.
+    """
 
     def __init__(
-        self, own: MemberUpdate, first: Iterable[str], rng: Random, now: int, send: Send
+        self, own: MemberUpdate, seed_addresses: Iterable[str], rng: Random, now: int, send: Send
     ) -> None:
-        """`own` is this process: alive, incarnation 0. `first` are addresses to ask at first."""
+        """`own` is this process, alive, incarnation 0; `seed_addresses` are contacted to join."""
         self.own = own
-        self.first = [address for address in first if address != own.address]
+        self.seed_addresses = [address for address in seed_addresses if address != own.address]
         self.rng = rng
         self.send = send
         self.rows: dict[str, Member] = {own.name: Member(own, now)}
-        self.lives: dict[str, bytes] = {}  # by address, as told: good for whom to speak to
+        self.lives: dict[str, bytes] = {}  # by address, from gossip; for addressing messages only
         self.events: list[Event] = []
-        self.health = 0  # Lifeguard's count of our own troubles
-        self.conflict = ""  # the address of another that has our name
+        self.health = 0  # Lifeguard's local health count: 0 is healthy
+        self.conflict = ""  # address of another process that has this instance's name
         self.left = False
         self.false_alarms = 0  # suspicions of others that were refuted
         self._seq = 0
         self._syncs = 0
         self._probe: _Probe | None = None
         self._relayed: dict[int, _RelayedProbe] = {}
-        self._order: list[str] = []
-        self._send_counts: dict[str, int] = {own.name: 0}  # how often each was told
-        self._next_probe = now + int(rng.random() * PERIOD)
+        self._probe_order: list[str] = []
+        self._send_counts: dict[str, int] = {own.name: 0}  # by name: how often its update was sent
+        self._next_probe = now + int(rng.random() * PROBE_INTERVAL_NS)
         self._next_sync = now
-        self._next_again = now + int(rng.random() * AGAIN)
+        self._next_reconnect = now + int(rng.random() * RECONNECT_INTERVAL_NS)
         self._now = now
 
-    # ---- what is asked of it ------------------------------------------------------------------
+    # ---- queries -----------------------------------------------------------------------------
 
     def live(self) -> list[str]:
-        """Names of those that are there, ourselves among them, in order."""
+        """Sorted names of the members that are neither lost nor left, this instance included."""
         return sorted(name for name, m in self.rows.items() if m.present)
 
     def working(self) -> list[str]:
-        """Those of them that take on work: neither draining nor suspect."""
+        """Sorted names of the members that take new work: neither draining nor suspect."""
         return sorted(
             name
             for name, m in self.rows.items()
@@ -181,38 +185,43 @@
         )
 
     def next_due(self) -> int:
-        """When `tick` has something to do."""
-        due = [self._next_probe, self._next_sync, self._next_again]
+        """Time at which `tick` must be called next."""
+        due = [self._next_probe, self._next_sync, self._next_reconnect]
         if self._probe is not None:
-            due.append(self._probe.ends if self._probe.helped else self._probe.indirect_at)
-        due += [f.nack_at or f.ends for f in self._relayed.values()]
-        due += [m.ends for m in self.rows.values() if m.update.state == State.SUSPECT]
+            due.append(
+                self._probe.deadline if self._probe.indirect_sent else self._probe.indirect_probe_at
+            )
+        due += [f.nack_at or f.deadline for f in self._relayed.values()]
+        due += [m.suspicion_ends_at for m in self.rows.values() if m.update.state == State.SUSPECT]
         return min(due)
 
-    # ---- our own doings -----------------------------------------------------------------------
+    # ---- changes of this instance ------------------------------------------------------------
 
     def drain(self, now: int) -> None:
-        """Tell everybody that this one takes on nothing new."""
+        """Announce that this instance takes no new work."""
         if not self.own.drains:
-            self._renew(now, drains=True)
-            self.events.append(Event(self.own.name, "drains", "told to"))
+            self._advance_incarnation(now, drains=True)
+            self.events.append(Event(self.own.name, "drains", "drain requested"))
 
     def resume(self, now: int) -> None:
-        """Tell everybody that this one takes on work again."""
+        """Announce that this instance takes new work again."""
         if self.own.drains:
-            self._renew(now, drains=False)
-            self.events.append(Event(self.own.name, "back", "told to take on work again"))
+            self._advance_incarnation(now, drains=False)
+            self.events.append(Event(self.own.name, "back", "resume requested"))
 
     def leave(self, now: int) -> None:
-        """For good. Told to a few at once: nobody is left to tell it later."""
+        """Leave the fleet for good.
+
+        A few members are told at once: this process gossips no more after it has left.
+        """
         if self.left:
             return
         self.left = True
-        self._renew(now, state=State.LEFT)
-        for name in self._some(HELPERS + 2):
+        self._advance_incarnation(now, state=State.LEFT)
+        for name in self._sample_peers(INDIRECT_PROBE_COUNT + 2):
             self.send(self.rows[name].update.address, Sync([self.own]))
 
-    def _renew(self, now: int, **over: object) -> None:
+    def _advance_incarnation(self, now: int, **over: object) -> None:
         self.own = replace(self.own, **({"incarnation": self.own.incarnation + 1} | over))
         self.rows[self.own.name] = Member(self.own, now)
         self._send_counts[self.own.name] = 0
@@ -220,179 +229,205 @@
     # ---- time ---------------------------------------------------------------------------------
 
     def tick(self, now: int) -> None:
-        """Whatever is due."""
-        if self._paused(now):
+        """Send the probes and exchanges that are due, and expire suspicions and old records."""
+        if self._resumed_after_pause(now):
             return
         self._now = now
         if self.left:
             return
-        self._relayed_due(now)
-        self._probe_due(now)
-        self._states_due(now)
+        self._check_relayed_probes(now)
+        self._check_probe(now)
+        self._expire_members(now)
         if now >= self._next_probe:
-            self._next_probe = now + PERIOD * (self.health + 1)
+            self._next_probe = now + PROBE_INTERVAL_NS * (self.health + 1)
             if self._probe is None:
-                self._begin_probe(now)
+                self._start_probe(now)
         if now >= self._next_sync:
             self._sync(now)
-        if now >= self._next_again:
-            self._look_again(now)
+        if now >= self._next_reconnect:
+            self._contact_unreachable(now)
 
-    def _probe_due(self, now: int) -> None:
-        """Ask others in our place, or take the probe for missed."""
+    def _check_probe(self, now: int) -> None:
+        """Send indirect probes after the direct timeout, or end a probe that got no answer."""
         probe = self._probe
         if probe is None:
             return
-        if not probe.helped and now >= probe.indirect_at:
+        if not probe.indirect_sent and now >= probe.indirect_probe_at:
             self._ask_helpers(now, probe)
-        if now >= probe.ends:
+        if now >= probe.deadline:
             self._probe = None
-            self._missed(now, probe)
+            self._on_probe_timeout(now, probe)
 
-    def _states_due(self, now: int) -> None:
-        """Suspects whose time is over are lost; those lost or left for long are forgotten."""
+    def _expire_members(self, now: int) -> None:
+        """Declare suspects lost whose suspicion has ended, and drop old lost and left members."""
         for name, m in list(self.rows.items()):
-            if m.update.state == State.SUSPECT and now >= m.ends:
-                why = f"no answer for {(now - m.begun) / SECOND:.1f} s, told by {len(m.accusers)}"
-                self._set(now, m.update, State.LOST, why)
-            elif m.update.state >= State.LOST and now - m.since > FORGET:
+            if m.update.state == State.SUSPECT and now >= m.suspicion_ends_at:
+                why = (
+                    f"no answer for {(now - m.suspected_at) / SECOND:.1f} s, "
+                    f"accused by {len(m.accusers)}"
+                )
+                self._set_state(now, m.update, State.LOST, why)
+            elif m.update.state >= State.LOST and now - m.since > GONE_MEMBER_RETENTION_NS:
                 del self.rows[name]
                 self.lives.pop(m.update.address, None)
                 self._send_counts.pop(name, None)
 
-    def _paused(self, now: int) -> bool:
-        """Woken after a stop, what is due is not what others failed to do: we were not there to
-        hear them. All that waits begins anew."""
+    def _resumed_after_pause(self, now: int) -> bool:
+        """Whether this process was stopped for a while; if so, probes and timers start anew.
+
+        After a stop, overdue timers say nothing about other members: their answers could not be
+        received here meanwhile.
+        """
         gap = now - self._now
-        if gap < 2 * PERIOD * (self.health + 1):
+        if gap < 2 * PROBE_INTERVAL_NS * (self.health + 1):
             return False
         self._now = now
         self._probe = None
         self._relayed.clear()
-        self.health = min(self.health + 1, HEALTH_MOST)
+        self.health = min(self.health + 1, MAX_HEALTH_COUNT)
         for m in self.rows.values():
             if m.update.state == State.SUSPECT:
-                m.ends += gap
-                m.begun += gap
-        self._next_probe = now + int(self.rng.random() * PERIOD)
+                m.suspicion_ends_at += gap
+                m.suspected_at += gap
+        self._next_probe = now + int(self.rng.random() * PROBE_INTERVAL_NS)
         self._next_sync = now
         return True
 
-    def _begin_probe(self, now: int) -> None:
+    def _start_probe(self, now: int) -> None:
         target = self._next_target()
         if target is None:
             return
         self._seq += 1
         slow = self.health + 1
-        self._probe = _Probe(self._seq, target, now, now + TIMEOUT * slow, now + PERIOD * slow - MS)
+        self._probe = _Probe(
+            self._seq,
+            target,
+            now,
+            now + PROBE_TIMEOUT_NS * slow,
+            now + PROBE_INTERVAL_NS * slow - MS,
+        )
         update = self.rows[target].update
-        self.send(update.address, Ping(self._seq, target, self._gossip(target)))
+        self.send(update.address, Ping(self._seq, target, self._pick_updates(target)))
 
     def _next_target(self) -> str | None:
-        """Round robin over a shuffled list: each is asked once in a round, so detection has an
-        end (SWIM, 4.3)."""
-        while self._order:
-            name = self._order.pop()
+        """The next member in round robin over a shuffled list.
+
+        Each member is probed once in a round, which bounds the time to detection (SWIM, 4.3).
+        """
+        while self._probe_order:
+            name = self._probe_order.pop()
             m = self.rows.get(name)
             if m is not None and m.present and name != self.own.name:
                 return name
-        self._order = [n for n, m in self.rows.items() if m.present and n != self.own.name]
-        self.rng.shuffle(self._order)
-        return self._order.pop() if self._order else None
+        self._probe_order = [n for n, m in self.rows.items() if m.present and n != self.own.name]
+        self.rng.shuffle(self._probe_order)
+        return self._probe_order.pop() if self._probe_order else None
 
     def _ask_helpers(self, now: int, probe: _Probe) -> None:
-        probe.helped = True
-        for name in self._some(HELPERS, but=probe.target):
-            probe.helpers += 1
+        probe.indirect_sent = True
+        for name in self._sample_peers(INDIRECT_PROBE_COUNT, exclude=probe.target):
+            probe.helper_count += 1
             self.send(
-                self.rows[name].update.address, PingFor(probe.seq, probe.target, self._gossip(name))
+                self.rows[name].update.address,
+                PingFor(probe.seq, probe.target, self._pick_updates(name)),
             )
 
-    def _missed(self, now: int, probe: _Probe) -> None:
-        # Helpers that are silent as well speak against us, not against the target.
-        silent = probe.helpers - probe.nacks
-        self.health = min(self.health + (silent if probe.helpers else 1), HEALTH_MOST)
+    def _on_probe_timeout(self, now: int, probe: _Probe) -> None:
+        # Helpers that send neither an ack nor a nack suggest that this instance is at fault.
+        silent = probe.helper_count - probe.nack_count
+        self.health = min(self.health + (silent if probe.helper_count else 1), MAX_HEALTH_COUNT)
         m = self.rows.get(probe.target)
         if m is not None and m.update.state == State.ALIVE:
-            self._accuse(now, m.update, self.own.name, "it did not answer us")
+            self._accuse(now, m.update, self.own.name, "no answer to a direct or indirect probe")
 
-    def _relayed_due(self, now: int) -> None:
+    def _check_relayed_probes(self, now: int) -> None:
         for seq, relayed in list(self._relayed.items()):
             if relayed.nack_at and now >= relayed.nack_at:
                 relayed.nack_at = 0
-                asker = self.rows.get(relayed.asker)
-                if asker is not None:
-                    self.send(asker.update.address, Nack(relayed.their_seq))
-            if now >= relayed.ends:
+                requester = self.rows.get(relayed.requester)
+                if requester is not None:
+                    self.send(requester.update.address, Nack(relayed.requester_seq))
+            if now >= relayed.deadline:
                 del self._relayed[seq]
 
     def _sync(self, now: int) -> None:
         known = [n for n, m in self.rows.items() if m.present and n != self.own.name]
         if known:
-            # Often at first: where all start at once, gossip alone takes a quarter of a minute.
+            # Exchanges are frequent at first: when all instances start at once, gossip alone
+            # takes 15 s to spread their records.
             self._syncs += 1
             every = min(SYNC_INTERVAL_NS, SECOND << min(self._syncs, 5))
             self._next_sync = now + every // 2 + int(self.rng.random() * every)
-            self._tell_all(self.rows[self.rng.choice(known)].update.address, True)
+            self._send_state(self.rows[self.rng.choice(known)].update.address, True)
             return
-        self._next_sync = now + SYNC_NEW + int(self.rng.random() * SYNC_NEW)
-        for address in self.first:
-            self._tell_all(address, True)
+        self._next_sync = (
+            now + JOIN_SYNC_INTERVAL_NS + int(self.rng.random() * JOIN_SYNC_INTERVAL_NS)
+        )
+        for address in self.seed_addresses:
+            self._send_state(address, True)
+
+    def _contact_unreachable(self, now: int) -> None:
+        """Contact a lost member or an unknown seed address.
 
-    def _look_again(self, now: int) -> None:
-        """Heals a split: both sides took one another for lost, and nobody would ask again."""
-        self._next_again = now + AGAIN // 2 + int(self.rng.random() * AGAIN)
+        This heals a split: both sides hold the other for lost and would not probe it again.
+        """
+        self._next_reconnect = (
+            now + RECONNECT_INTERVAL_NS // 2 + int(self.rng.random() * RECONNECT_INTERVAL_NS)
+        )
         known = {m.update.address for m in self.rows.values() if m.present}
         gone = [m.update.address for m in self.rows.values() if m.update.state == State.LOST]
-        gone += [address for address in self.first if address not in known]
+        gone += [address for address in self.seed_addresses if address not in known]
         if gone:
-            self._tell_all(self.rng.choice(gone), True)
+            self._send_state(self.rng.choice(gone), True)
 
-    def _tell_all(self, address: str, answer: bool) -> None:
+    def _send_state(self, address: str, answer: bool) -> None:
         rows = [m.update for m in self.rows.values() if m.update.name != self.own.name]
         self.rng.shuffle(rows)
         rows.insert(0, self.own)
-        for at in range(0, len(rows), SYNC_ROWS):
-            self.send(address, Sync(rows[at : at + SYNC_ROWS], answer and at == 0))
+        for at in range(0, len(rows), MAX_SYNC_UPDATES):
+            self.send(address, Sync(rows[at : at + MAX_SYNC_UPDATES], answer and at == 0))
 
-    def _some(self, count: int, but: str = "") -> list[str]:
-        names = [n for n, m in self.rows.items() if m.present and n not in (self.own.name, but)]
+    def _sample_peers(self, count: int, exclude: str = "") -> list[str]:
+        names = [n for n, m in self.rows.items() if m.present and n not in (self.own.name, exclude)]
         return self.rng.sample(names, min(count, len(names)))
 
-    # ---- what others say ------------------------------------------------------------------------
+    # ---- messages of other members ------------------------------------------------------------
 
     def receive(self, now: int, sender: str, address: str, body: Body) -> None:
-        """A message of a member; whose it is was proved by its seal."""
-        if self._paused(now):
-            pass  # what it says is as true as ever
+        """Handle a message of a member; its seal has proved which process sent it."""
+        if self._resumed_after_pause(now):
+            pass  # a message that arrives after a pause is still valid
         self._now = now
         if isinstance(body, Ping):
-            self._take_all(now, body.news, sender)
+            self._apply_updates(now, body.news, sender)
             if body.target == self.own.name and not self.left:
-                self.send(address, Ack(body.seq, self._gossip(sender)))
+                self.send(address, Ack(body.seq, self._pick_updates(sender)))
         elif isinstance(body, PingFor):
-            self._take_all(now, body.news, sender)
+            self._apply_updates(now, body.news, sender)
             target = self.rows.get(body.target)
             if target is not None and not self.left:
                 self._seq += 1
                 slow = self.health + 1
                 self._relayed[self._seq] = _RelayedProbe(
-                    sender, body.seq, now + int(NACK_PART * TIMEOUT * slow), now + PERIOD * slow
+                    sender,
+                    body.seq,
+                    now + int(NACK_TIMEOUT_FRACTION * PROBE_TIMEOUT_NS * slow),
+                    now + PROBE_INTERVAL_NS * slow,
                 )
-                ping = Ping(self._seq, body.target, self._gossip(body.target))
+                ping = Ping(self._seq, body.target, self._pick_updates(body.target))
                 self.send(target.update.address, ping)
         elif isinstance(body, Ack):
-            self._take_all(now, body.news, sender)
-            self._acked(now, body.seq)
+            self._apply_updates(now, body.news, sender)
+            self._on_ack(now, body.seq)
         elif isinstance(body, Nack):
             if self._probe is not None and body.seq == self._probe.seq:
-                self._probe.nacks += 1
+                self._probe.nack_count += 1
         elif isinstance(body, Sync):
-            self._take_all(now, body.members, sender)
+            self._apply_updates(now, body.members, sender)
             if body.answer and not self.left:
-                self._tell_all(address, False)
+                self._send_state(address, False)
 
-    def _acked(self, now: int, seq: int) -> None:
+    def _on_ack(self, now: int, seq: int) -> None:
         probe = self._probe
         if probe is not None and seq == probe.seq:
             self._probe = None
@@ -400,92 +435,102 @@
             return
         relayed = self._relayed.pop(seq, None)
         if relayed is not None:
-            asker = self.rows.get(relayed.asker)
-            if asker is not None:
-                self.send(asker.update.address, Ack(relayed.their_seq, self._gossip(relayed.asker)))
+            requester = self.rows.get(relayed.requester)
+            if requester is not None:
+                self.send(
+                    requester.update.address,
+                    Ack(relayed.requester_seq, self._pick_updates(relayed.requester)),
+                )
 
-    def _take_all(self, now: int, updates: Iterable[MemberUpdate], teller: str) -> None:
+    def _apply_updates(self, now: int, updates: Iterable[MemberUpdate], reporter: str) -> None:
         for update in updates:
-            self.apply_update(now, update, teller)
+            self.apply_update(now, update, reporter)
 
-    def apply_update(self, now: int, update: MemberUpdate, teller: str) -> None:
-        """An update of whatever age. It changes something where it is newer than what is known,
-        or accuses a member that is there."""
+    def apply_update(self, now: int, update: MemberUpdate, reporter: str) -> None:
+        """Apply an update of any age.
+
+        It takes effect where it is newer than the known record, or accuses a present member.
+        """
         if update.name == self.own.name:
-            self._of_us(now, update, teller)
+            self._apply_own_update(now, update, reporter)
             return
         m = self.rows.get(update.name)
         if m is None:
             if update.state <= State.SUSPECT:
-                self._alive_or_suspect(now, update, teller, "joined")
+                self._alive_or_suspect(now, update, reporter, "joined")
             return
         if update.state == State.SUSPECT and rank(update)[:3] == rank(m.update)[:3]:
             if m.update.state <= State.SUSPECT:
-                self._accuse(now, update, update.accuser or teller, f"told by {teller}")
+                self._accuse(now, update, update.accuser or reporter, f"told by {reporter}")
             return
         if rank(update) <= rank(m.update):
             return
         if update.life != m.update.life and update.address != m.update.address and m.present:
-            # Another process under a name whose bearer is there: who was first keeps it. One
-            # that moved to another machine is taken in once the one it was is lost or has left.
+            # Another process uses the name of a present member: the first one keeps it. A member
+            # that moved to another machine is accepted once its earlier life is lost or left.
             return
         if update.state <= State.SUSPECT:
-            self._alive_or_suspect(now, update, teller)
+            self._alive_or_suspect(now, update, reporter)
         else:
-            self._set(now, update, State(update.state), f"told by {teller}")
+            self._set_state(now, update, State(update.state), f"told by {reporter}")
 
     def _alive_or_suspect(
-        self, now: int, update: MemberUpdate, teller: str, what: str = ""
+        self, now: int, update: MemberUpdate, reporter: str, what: str = ""
     ) -> None:
-        """A member is there; a suspect is taken for alive first, then accused."""
-        self._set(now, update, State.ALIVE, f"told by {teller}", what)
+        """Record a member as alive, then accuse it where the update says that it is suspect."""
+        self._set_state(now, update, State.ALIVE, f"told by {reporter}", what)
         if update.state == State.SUSPECT:
-            self._accuse(now, update, update.accuser or teller, f"told by {teller}")
+            self._accuse(now, update, update.accuser or reporter, f"told by {reporter}")
 
-    def _of_us(self, now: int, update: MemberUpdate, teller: str) -> None:
+    def _apply_own_update(self, now: int, update: MemberUpdate, reporter: str) -> None:
         own = self.own
         if update.life != own.life:
             if update.address != own.address and update.state <= State.SUSPECT:
-                # Somebody else has our name. Who was there first keeps it.
+                # Another process has this instance's name. The one that started first keeps it.
                 if update.born <= own.born and not self.conflict:
                     self.conflict = update.address
                     self.events.append(
-                        Event(own.name, "conflict", f"{update.address} has this name already")
+                        Event(own.name, "conflict", f"{update.address} already uses this name")
                     )
                 return
             if update.address != own.address and update.address == self.conflict:
-                self.conflict = ""  # it has gone
+                self.conflict = ""  # the other process is lost or has left
             if update.born >= own.born:
-                # What we were before this start, by a clock that was ahead.
-                self._renew(now, born=update.born + 1)
+                # An earlier life of this instance, started by a clock that was ahead.
+                self._advance_incarnation(now, born=update.born + 1)
             return
         if update.state != State.ALIVE and rank(update)[2:] >= rank(own)[2:] and not self.left:
-            # Taken for lost: the next incarnation says otherwise.
-            self.health = min(self.health + 1, HEALTH_MOST)
-            self._renew(now, incarnation=update.incarnation + 1)
-            self.events.append(Event(own.name, "refuted", f"{teller} took us for lost"))
+            # Others hold this instance for suspect or lost; a higher incarnation refutes it.
+            self.health = min(self.health + 1, MAX_HEALTH_COUNT)
+            self._advance_incarnation(now, incarnation=update.incarnation + 1)
+            self.events.append(
+                Event(own.name, "refuted", f"{reporter} reported this instance as suspect or lost")
+            )
 
     def _accuse(self, now: int, update: MemberUpdate, accuser: str, why: str) -> None:
-        """`accuser` found it out itself. Whoever only passed it on is none: taken for one, a
-        single lost answer became a loss as fast as gossip goes (27 of them in half a minute of
-        200 instances at 5 % of loss)."""
+        """Suspect a member, or confirm its suspicion, for `accuser`, whose own probe failed.
+
+        A member that only relays the suspicion is no accuser. When relays counted, one lost answer
+        made a member lost as fast as gossip spreads: 27 false losses in half a minute with 200
+        instances and 5 % of datagrams lost.
+        """
         m = self.rows[update.name]
         if m.update.state != State.SUSPECT:
-            self._set(now, update, State.SUSPECT, why, accuser=accuser)
+            self._set_state(now, update, State.SUSPECT, why, accuser=accuser)
             m = self.rows[update.name]
-            m.begun = now
+            m.suspected_at = now
             m.accusers = {accuser}
-        elif accuser not in m.accusers and len(m.accusers) <= CONFIRMATIONS:
+        elif accuser not in m.accusers and len(m.accusers) <= CONFIRMATION_COUNT:
             m.accusers.add(accuser)
             m.update = replace(m.update, accuser=accuser)
-            self._send_counts[update.name] = 0  # confirmations are told on (Lifeguard, 4.2)
+            self._send_counts[update.name] = 0  # confirmations are gossiped too (Lifeguard, 4.2)
         n = len(self.live())
-        least, most = shortest(n), longest(n)
+        least, most = min_suspicion_ns(n), max_suspicion_ns(n)
         others = len(m.accusers) - 1
-        spent = math.log(others + 1) / math.log(CONFIRMATIONS + 1)
-        m.ends = m.begun + max(int(most - (most - least) * spent), least)
+        spent = math.log(others + 1) / math.log(CONFIRMATION_COUNT + 1)
+        m.suspicion_ends_at = m.suspected_at + max(int(most - (most - least) * spent), least)
 
-    def _set(
+    def _set_state(
         self,
         now: int,
         update: MemberUpdate,
@@ -494,30 +539,30 @@
         what: str = "",
         accuser: str = "",
     ) -> None:
-        """Believe an update of another member, with this state, from now on."""
+        """Store an update of another member with this state, and note an event if it changed."""
         old = self.rows.get(update.name)
-        made = replace(update, state=int(state), accuser=accuser)
-        self.rows[update.name] = Member(made, now)
-        self.lives[made.address] = made.life
+        record = replace(update, state=int(state), accuser=accuser)
+        self.rows[update.name] = Member(record, now)
+        self.lives[record.address] = record.life
         self._send_counts[update.name] = 0
         if old is not None and state == State.ALIVE and old.state == State.SUSPECT:
             self.false_alarms += 1
             return
-        what = what or _change(old, made, state)
+        what = what or _describe_change(old, record, state)
         if what:
-            self.events.append(Event(made.name, what, why))
+            self.events.append(Event(record.name, what, why))
 
     # ---- gossip -------------------------------------------------------------------------------
 
-    def _gossip(self, to: str) -> list[MemberUpdate]:
-        """The least told news first; a suspect hears of its suspicion before anything else."""
-        limit = SPREAD * math.ceil(math.log10(len(self.rows) + 1))
+    def _pick_updates(self, to: str) -> list[MemberUpdate]:
+        """Updates for one datagram: the least sent first, but to a suspect its suspicion first."""
+        limit = GOSSIP_MULTIPLIER * math.ceil(math.log10(len(self.rows) + 1))
         picked = []
         suspect = self.rows.get(to)
         if suspect is not None and suspect.update.state == State.SUSPECT:
             picked.append(to)
         for name in sorted(self._send_counts, key=self._send_counts.__getitem__):
-            if len(picked) >= NEWS:
+            if len(picked) >= MAX_GOSSIP_UPDATES:
                 break
             if name not in picked and name in self.rows:
                 picked.append(name)
