--- a/tansywood/fleet/keyfile.py
+++ b/tansywood/fleet/keyfile.py
@@ -1,4 +1,4 @@
-"""A fleet's key file: who may read it, what it holds, and a rotation while the process runs."""
+"""A fleet's key file: its permissions, its content, and key rotation without a restart."""
 
 from __future__ import annotations
 
@@ -10,38 +10,41 @@
 
 
 class KeyFile:
-    """The keys of a file, the first one seals. Read anew where the file has changed; a file that
-    can't be used then changes nothing, and is told to `log` once."""
+    """The keys of a file; the first one seals.
+
+    The file is read again when it has changed. If it can't be used then, the old keys stay in force
+    and the fault is logged once.
+    """
 
     def __init__(self, path: Path, log: Callable[[str], None] = lambda _text: None) -> None:
-        """KeyFileError where it can't be used, with what to do."""
+        """KeyFileError, with the remedy, where the file can't be used."""
         self.path = path
         self._log = log
-        self._seen = 0
+        self._read_mtime_ns = 0
         self._keys = self._read()
 
     def __call__(self) -> Sequence[bytes]:
-        """The keys in force now."""
-        if self._modified() not in (0, self._seen):
+        """The keys in force now, read again if the file has changed."""
+        if self._mtime_ns() not in (0, self._read_mtime_ns):
             try:
                 self._keys = self._read()
             except KeyFileError as err:
                 self._log(f"{self.path}: {err}; the old keys stay in force")
-                self._seen = self._modified()
+                self._read_mtime_ns = self._mtime_ns()
         return self._keys
 
-    def _modified(self) -> int:
+    def _mtime_ns(self) -> int:
         with contextlib.suppress(OSError):
             return self.path.stat().st_mtime_ns
         return 0
 
     def _read(self) -> Sequence[bytes]:
         try:
-            found = self.path.stat()
-            if found.st_mode & 0o077:
-                raise KeyFileError("others may read it: chmod 600")
+            status = self.path.stat()
+            if status.st_mode & 0o077:
+                raise KeyFileError("other users may read it: run chmod 600 on it")
             keys = read_keys(self.path.read_text())
         except (OSError, UnicodeDecodeError) as err:
-            raise KeyFileError(f"can't be read: {err}") from None
-        self._seen = found.st_mtime_ns
+            raise KeyFileError(f"can't be read, check its path and owner: {err}") from None
+        self._read_mtime_ns = status.st_mtime_ns
         return keys
--- a/tansywood/fleet/messages.py
+++ b/tansywood/fleet/messages.py
@@ -1,7 +1,8 @@
-"""What instances say to one another: typed, checked as it is read (MessagePack by msgspec).
+"""Messages between instances of a fleet: MessagePack, typed and checked on decoding by msgspec.
 
-Each is a tagged array; a field may be added at the end with a default, which an older version of
-the program does not read and a newer one fills in. Anything else is a MessageError.
+Each message is a tagged array. A field may be added only at the end and with a default: an older
+version of the program ignores the field, a newer one fills in the default. Bytes that don't fit a
+message's type raise MessageError. Durations are nanoseconds.
 """
 
 from __future__ import annotations
@@ -12,24 +13,27 @@
 from msgspec import Meta, Struct
 
 Name = Annotated[str, Meta(min_length=1, max_length=63)]
-Place = Annotated[str, Meta(max_length=21)]  # IPv4:port
+Address = Annotated[str, Meta(max_length=21)]  # IPv4:port
 Key = Annotated[str, Meta(min_length=1, max_length=200)]
 Count = Annotated[int, Meta(ge=0, le=1 << 62)]
 AllocatorIndex = Annotated[int, Meta(ge=-1, le=63)]
-LIFE_BYTES = 16  # bytes
+LIFE_BYTES = 16  # 128 random bits that name one run of a process
 Life = Annotated[bytes, Meta(min_length=LIFE_BYTES, max_length=LIFE_BYTES)]
 
 
 class MessageError(ValueError):
-    """Bytes that are no message of this protocol."""
+    """The bytes are not a valid message of this protocol."""
 
 
 class MemberUpdate(Struct, array_like=True, frozen=True):
-    """One member as its sender believes it to be. The greater of two, by life (`born`, then the
-    life's bytes), incarnation and state, is the newer."""
+    """The state of one member as the sender believes it to be.
+
+    Of two updates the greater is the newer, compared by life (`born`, then the life's bytes), then
+    by incarnation, then by state. `born` is the process's start in milliseconds of Unix time.
+    """
 
     name: Name
-    address: Place
+    address: Address
     life: Life
     born: Count
     incarnation: Count
@@ -37,22 +41,22 @@
     drains: bool = False
     version: Annotated[str, Meta(max_length=40)] = ""
     zone: Annotated[str, Meta(max_length=63)] = ""
-    accuser: Annotated[str, Meta(max_length=63)] = ""  # of a suspect: who found it out itself
+    accuser: Annotated[str, Meta(max_length=63)] = ""  # member whose probe of a suspect failed
 
 
 MemberUpdates = Annotated[list[MemberUpdate], Meta(max_length=64)]
 
 
 class Hello(Struct, array_like=True, frozen=True, tag="h"):
-    """Who are you? Changes nothing at whoever gets it."""
+    """Asks for the receiver's life. It changes nothing at the receiver."""
 
 
 class Welcome(Struct, array_like=True, frozen=True, tag="w"):
-    """The answer: the sender's life is in the envelope."""
+    """Answers a hello; the datagram's seal carries the sender's life."""
 
 
 class Ping(Struct, array_like=True, frozen=True, tag="p"):
-    """Are you there? With updates of members, as have its answers."""
+    """A direct probe. Probes and their answers carry gossiped member updates."""
 
     seq: Count
     target: Name
@@ -60,7 +64,7 @@
 
 
 class PingFor(Struct, array_like=True, frozen=True, tag="q"):
-    """Ask another in my place."""
+    """Asks the receiver to probe the target for the sender (an indirect probe)."""
 
     seq: Count
     target: Name
@@ -68,27 +72,30 @@
 
 
 class Ack(Struct, array_like=True, frozen=True, tag="a"):
-    """The answer to a ping, or to one made for another."""
+    """Answers a probe, direct or relayed."""
 
     seq: Count
     news: MemberUpdates = []
 
 
 class Nack(Struct, array_like=True, frozen=True, tag="n"):
-    """I asked in your place and have heard nothing: at least I am there."""
+    """Tells the requester of an indirect probe that the target has not answered its helper yet.
+
+    It proves to the requester that the path to the helper works.
+    """
 
     seq: Count
 
 
 class Sync(Struct, array_like=True, frozen=True, tag="s"):
-    """Members as I believe them to be, some of many; `answer` asks for yours."""
+    """A part of the sender's member records; `answer` asks the receiver to send its own."""
 
     members: MemberUpdates
     answer: bool = False
 
 
 class ClaimEntry(Struct, array_like=True, frozen=True):
-    """What is claimed of one limit. `applied` is the claim whose grant the holder goes by."""
+    """The units claimed of one limit; `applied` is the claim whose grant the holder now uses."""
 
     key: Key
     need: Count
@@ -96,7 +103,7 @@
 
 
 class Observation(Struct, array_like=True, frozen=True):
-    """What the sender itself saw of a server, so long ago."""
+    """What the sender itself observed of a server, and how long ago."""
 
     server: Key
     kind: Annotated[int, Meta(ge=0, le=4)]
@@ -104,16 +111,16 @@
 
 
 class Claim(Struct, array_like=True, frozen=True, tag="c"):
-    """A holder asks one allocator for units of limits, and tells what it saw of servers."""
+    """A holder claims units of limits from one allocator and reports observations of servers."""
 
     seq: Count
     entries: Annotated[list[ClaimEntry], Meta(max_length=64)]
     seen: Annotated[list[Observation], Meta(max_length=64)] = []
-    allocator: AllocatorIndex = -1  # whose slice is asked for; -1: of the one that is asked
+    allocator: AllocatorIndex = -1  # whose slice is claimed; -1: the receiver's
 
 
 class GrantEntry(Struct, array_like=True, frozen=True):
-    """What is granted of one limit, in units."""
+    """The units granted of one limit."""
 
     key: Key
     amount: Count
@@ -122,22 +129,22 @@
 class Grant(Struct, array_like=True, frozen=True, tag="g"):
     """The answer to a claim."""
 
-    seq: Count  # of the claim
+    seq: Count  # sequence number of the answered claim
     entries: Annotated[list[GrantEntry], Meta(max_length=64)]
     doubted: Annotated[list[Key], Meta(max_length=64)] = []
-    back: Annotated[list[Key], Meta(max_length=64)] = []  # that the claim called out, and answer
-    allocator: AllocatorIndex = -1  # whose slice this is of; -1: the answerer's
+    back: Annotated[list[Key], Meta(max_length=64)] = []  # ejected by the claimant, answer others
+    allocator: AllocatorIndex = -1  # whose slice is granted; -1: the sender's
 
 
 class Return(Struct, array_like=True, frozen=True, tag="r"):
-    """I hold nothing of you any more: what drains says this at its end."""
+    """Gives back all that the sender holds of an allocator; sent at the end of a drain."""
 
     seq: Count
     allocator: AllocatorIndex = -1
 
 
 class Carried(Struct, array_like=True, frozen=True, tag="x"):
-    """Something of another part of the program, which alone reads it."""
+    """Opaque data of another component, which alone decodes it."""
 
     data: Annotated[bytes, Meta(max_length=1200)]
 
@@ -146,13 +153,11 @@
 
 
 class Envelope(Struct, array_like=True, frozen=True):
-    """One datagram, before it is sealed."""
+    """The content of one datagram before it is sealed."""
 
     sender: Name
-    address: Place  # where the sender is asked
-    to: Annotated[
-        bytes, Meta(max_length=LIFE_BYTES)
-    ]  # the life this is for; empty in a hello alone
+    address: Address  # where the sender receives datagrams
+    to: Annotated[bytes, Meta(max_length=LIFE_BYTES)]  # the receiver's life; empty only in a hello
     body: Body
 
 
@@ -161,12 +166,12 @@
 
 
 def pack(envelope: Envelope) -> bytes:
-    """An envelope as bytes."""
+    """Encode an envelope."""
     return _encode(envelope)
 
 
 def unpack(data: bytes) -> Envelope:
-    """MessageError on anything that `pack` of this protocol would not have made."""
+    """Decode an envelope; MessageError where the bytes are not valid in this protocol."""
     try:
         return _decoder.decode(data)
     except msgspec.MsgspecError as err:
--- a/tansywood/fleet/seal.py
+++ b/tansywood/fleet/seal.py
@@ -1,11 +1,11 @@
-"""Datagrams that only the fleet can make and read.
+"""Encrypted, authenticated datagrams between instances of one fleet.
 
-    1 byte version | 4 key's name | 16 the sender's life | 8 counter | AES-256-GCM of the body
+    1 byte version | 4 key id | 16 the sender's life | 8 counter | AES-256-GCM of the body
 
-Each life of a process has a key of its own, derived from the fleet's (HKDF, RFC 5869), so the
-counter is a nonce that no two datagrams share. What the datagram is bound to besides (the fleet's
-name, its first addresses) is authenticated and not sent. A window of counters turns away what comes
-twice, as in IPsec (RFC 4303, 3.4.3).
+Each life (run) of a process has a key of its own, derived from the fleet's key (HKDF, RFC 5869),
+so the counter is a nonce that no two datagrams share. The fleet's name and its seed addresses are
+authenticated as associated data and not sent. A sliding window of counters rejects replayed
+datagrams, as in IPsec (RFC 4303, 3.4.3).
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 VERSION = 1
 HEADER = struct.Struct(">B4s16sQ")
 KEY_BYTES = 32
-MAX_DATAGRAM_BYTES = 1400  # bytes of a datagram: no path of a data centre cuts it in pieces
-WINDOW = 1024  # counters behind the highest that are told apart
-MAX_REMEMBERED_LIVES = 2048  # whose keys and windows are remembered
+MAX_DATAGRAM_BYTES = 1400  # of a datagram: not fragmented on any path of a data centre
+REPLAY_WINDOW_COUNT = 1024  # counters below the highest one that are tracked
+MAX_REMEMBERED_LIVES = 2048  # senders whose derived keys and windows are kept
 
 
 class SealError(ValueError):
-    """A datagram that is not for us; `reason` is one of REFUSAL_REASONS, for counting."""
+    """A datagram was refused; `reason` is one of REFUSAL_REASONS, for counting."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -42,13 +42,14 @@
 
 
 class KeyFileError(ValueError):
-    """The key file can't be used; the text says what, where and what to do."""
+    """The key file can't be used; the text names the fault, the line and the remedy."""
 
 
 def read_keys(text: str) -> list[bytes]:
-    """The keys of a key file: a line of 64 hexadecimal digits each, the first seals, all open.
+    """The keys of a key file, one line of 64 hexadecimal digits each.
 
-    Empty lines and lines that begin with # are left out. KeyFileError names the line.
+    The first key seals, all keys open. Empty lines and lines that begin with # are ignored.
+    KeyFileError names the line at fault.
     """
     keys: list[bytes] = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -60,9 +61,9 @@
         except ValueError:
             key = b""
         if len(key) != KEY_BYTES:
-            raise KeyFileError(f"line {number}: no key: write 64 hexadecimal digits")
+            raise KeyFileError(f"line {number}: not a key: write 64 hexadecimal digits")
         if key in keys:
-            raise KeyFileError(f"line {number}: this key is there twice: take one out")
+            raise KeyFileError(f"line {number}: this key is listed twice: remove one")
         keys.append(key)
     if not keys:
         raise KeyFileError("holds no key: make one with `openssl rand -hex 32`")
@@ -70,7 +71,7 @@
 
 
 class _Window:
-    """Which counters of a life have come."""
+    """Which counters of one life were received."""
 
     __slots__ = ("bits", "highest")
 
@@ -79,89 +80,104 @@
         self.bits = 0
 
     def fresh(self, counter: int) -> bool:
+        """Whether this counter is neither received yet nor too old to tell."""
         behind = self.highest - counter
-        return behind < 0 or (behind < WINDOW and not self.bits >> behind & 1)
+        return behind < 0 or (behind < REPLAY_WINDOW_COUNT and not self.bits >> behind & 1)
 
-    def take(self, counter: int) -> None:
+    def mark_received(self, counter: int) -> None:
+        """Remember a counter whose datagram was authentic."""
         ahead = counter - self.highest
         if ahead > 0:
-            self.bits = (self.bits << min(ahead, WINDOW) | 1) & ((1 << WINDOW) - 1)
+            self.bits = (self.bits << min(ahead, REPLAY_WINDOW_COUNT) | 1) & (
+                (1 << REPLAY_WINDOW_COUNT) - 1
+            )
             self.highest = counter
         else:
             self.bits |= 1 << -ahead
 
 
 class Seal:
-    """Seals for one life of one process, and opens what others of the fleet sealed."""
+    """Seals datagrams of one life of a process, and opens those of other instances."""
+
+    def __init__(self, keys: Sequence[bytes], binding: bytes, life: bytes) -> None:
+        """`binding` must be equal at all instances; `life` is 16 random bytes of this run.
 
-    def __init__(self, keys: Sequence[bytes], bound: bytes, life: bytes) -> None:
-        """`bound` is what all instances must agree on; `life` is 16 random bytes of this start."""
+        ValueError where `life` has another length or there is no key.
+        """
         if len(life) != LIFE_BYTES:
-            raise ValueError(f"a life is {LIFE_BYTES} bytes")
+            raise ValueError(f"a life must have {LIFE_BYTES} bytes")
         self.life = life
         self.counter = 0
-        self._bound = bound
-        self._others: OrderedDict[tuple[bytes, bytes], tuple[AESGCM, _Window]] = OrderedDict()
+        self._binding = binding
+        self._senders: OrderedDict[tuple[bytes, bytes], tuple[AESGCM, _Window]] = OrderedDict()
         self.rekey(keys)
 
     def rekey(self, keys: Sequence[bytes]) -> None:
-        """Go on with these; the counter goes on too, so no nonce is used twice under any."""
+        """Replace the keys. The counter is not reset, so no nonce is used twice under one key."""
         if not keys:
-            raise ValueError("no key")
+            raise ValueError("at least one key is needed to seal datagrams")
         self._keys = {hashlib.sha256(key).digest()[:4]: key for key in keys}
-        self._name = hashlib.sha256(keys[0]).digest()[:4]
-        self._own = self._cipher(keys[0], self.life)
-        # Windows under a key that stays are kept: forgotten, all before could come again.
-        for known in [known for known in self._others if known[0] not in self._keys]:
-            del self._others[known]
+        self._key_id = hashlib.sha256(keys[0]).digest()[:4]
+        self._own_cipher = self._cipher(keys[0], self.life)
+        # Replay windows under a kept key stay: without them earlier datagrams could be replayed.
+        for known in [known for known in self._senders if known[0] not in self._keys]:
+            del self._senders[known]
 
     def _cipher(self, key: bytes, life: bytes) -> AESGCM:
         derived = HKDF(SHA256(), KEY_BYTES, salt=life, info=b"tansywood fleet 1").derive(key)
         return AESGCM(derived)
 
     def seal(self, body: bytes) -> bytes:
-        """A datagram of this body, sealed under our first key."""
+        """A datagram with this body, sealed under the first key."""
         self.counter += 1
-        head = HEADER.pack(VERSION, self._name, self.life, self.counter)
+        head = HEADER.pack(VERSION, self._key_id, self.life, self.counter)
         nonce = self.counter.to_bytes(12, "big")
-        return head + self._own.encrypt(nonce, body, head + self._bound)
+        return head + self._own_cipher.encrypt(nonce, body, head + self._binding)
 
     def open(self, data: bytes) -> tuple[bytes, bytes]:
-        """The sender's life and the body. SealError on what nobody of this fleet made, or made
-        for another time; nothing is remembered of it."""
+        """The sender's life and the body of a datagram.
+
+        SealError where no instance of this fleet sealed it or it is a replay; a refused datagram
+        leaves no state behind.
+        """
         if len(data) < HEADER.size + 16:
             raise SealError("short")
-        version, name, life, counter = HEADER.unpack_from(data)
+        version, key_id, life, counter = HEADER.unpack_from(data)
         if version != VERSION:
             raise SealError("version")
-        key = self._keys.get(name)
+        key = self._keys.get(key_id)
         if key is None:
             raise SealError("stranger")
-        known = self._others.get((name, life))
+        known = self._senders.get((key_id, life))
         cipher, window = known or (self._cipher(key, life), _Window())
         if not window.fresh(counter):
             raise SealError("replay")
         try:
             body = cipher.decrypt(
-                counter.to_bytes(12, "big"), data[HEADER.size :], data[: HEADER.size] + self._bound
+                counter.to_bytes(12, "big"),
+                data[HEADER.size :],
+                data[: HEADER.size] + self._binding,
             )
         except InvalidTag:
             raise SealError("forged") from None
-        window.take(counter)
+        window.mark_received(counter)
         if known is None:
-            # An honest life that is forgotten comes back with an empty window: all it could
-            # be given again is its own past to us, and that is for this life of ours alone.
-            self._others[name, life] = (cipher, window)
-            if len(self._others) > MAX_REMEMBERED_LIVES:
-                self._others.popitem(last=False)
+            # A life that was dropped from this cache comes back with an empty window. Only its
+            # earlier datagrams to this instance could be replayed then, and their envelopes are
+            # addressed to this life alone.
+            self._senders[key_id, life] = (cipher, window)
+            if len(self._senders) > MAX_REMEMBERED_LIVES:
+                self._senders.popitem(last=False)
         else:
-            self._others.move_to_end((name, life))
+            self._senders.move_to_end((key_id, life))
         return life, body
 
 
 def fleet_binding(fleet: str, first: Sequence[str], hand_on: bool = False) -> bytes:
-    """What binds a datagram to a fleet: its name, its first addresses in order, and whether a
-    slice may be granted by another than its allocator. Who disagrees on these must be granted
-    nothing."""
-    rows = [fleet, *first, *(["hand on"] if hand_on else [])]
-    return hashlib.sha256("\n".join(rows).encode()).digest()
+    """Digest of the settings that all instances of a fleet must share.
+
+    They are the fleet's name, its seed addresses in order, and whether another instance than the
+    allocator may grant a slice. An instance that has other settings must be granted nothing.
+    """
+    parts = [fleet, *first, *(["hand on"] if hand_on else [])]
+    return hashlib.sha256("\n".join(parts).encode()).digest()
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -163,7 +163,7 @@
     assert ends[0] == 1 + max_suspicion_ns(21)
     assert ends == sorted(ends, reverse=True)
     assert ends[3] == 1 + min_suspicion_ns(21)
-    m.tick(ends[3])  # resumed after a pause: the suspicion goes on, it is not over
+    m.tick(ends[3])  # the first tick after a pause extends the suspicion
     assert m.rows["m01"].state == State.SUSPECT
 
 
