--- a/tansywood/fleet/events.py
+++ b/tansywood/fleet/events.py
@@ -1,4 +1,4 @@
-"""What happened at an instance, kept for people to read."""
+"""Recent events of an instance, kept for operators to read."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-KEPT = 500  # events
+MAX_KEPT_EVENTS = 500
 
 
 class EventLog(Generic[T]):
-    """The last events with their times, and those that nobody has printed yet."""
+    """The last events with their times, and those that were not printed yet."""
 
     def __init__(self) -> None:
-        self._kept: deque[tuple[int, T]] = deque(maxlen=KEPT)
-        self._fresh: list[T] = []
+        self._events: deque[tuple[int, T]] = deque(maxlen=MAX_KEPT_EVENTS)
+        self._unprinted: list[T] = []
 
     def __iter__(self) -> Iterator[tuple[int, T]]:
-        """Time (nanoseconds of the process's monotonic clock) and event, the oldest first."""
-        return iter(self._kept)
+        """Pairs of time (nanoseconds of the monotonic clock) and event, the oldest first."""
+        return iter(self._events)
 
     def add(self, now: int, event: T) -> None:
-        """Keep an event of this moment."""
-        self._kept.append((now, event))
-        self._fresh.append(event)
+        """Add an event that happened at `now`."""
+        self._events.append((now, event))
+        self._unprinted.append(event)
 
     def take_fresh(self) -> list[T]:
-        """Events since the last call."""
-        fresh, self._fresh = self._fresh, []
-        return fresh
+        """Return the events since the last call."""
+        unprinted, self._unprinted = self._unprinted, []
+        return unprinted
--- a/tansywood/fleet/evidence.py
+++ b/tansywood/fleet/evidence.py
@@ -1,4 +1,4 @@
-"""What was seen of servers, here and by others, and which servers that makes doubtful. Pure."""
+"""Observations of servers, local and of other instances, and which servers are doubted. Pure."""
 
 from __future__ import annotations
 
@@ -8,84 +8,95 @@
 from tansywood.fleet.signals import Kind, Signals
 from tansywood.fleet.terms import SECOND
 
-DOUBT_FOR = 2 * SECOND  # after the last word of an allocator
-BACK_FOR = DOUBT_FOR // 4  # the same, for servers that answer others again
-TELL_FOR = 2 * SECOND  # what was seen longer ago is not told
-KEEP_FOR = 10 * SECOND  # nor remembered beyond this
-MOST_DOUBTED = 64  # servers in one grant
+DOUBT_LIFETIME_NS = 2 * SECOND  # after an allocator last named the server
+RECOVERY_LIFETIME_NS = DOUBT_LIFETIME_NS // 4  # the same for servers that answer others again
+MAX_REPORTED_AGE_NS = 2 * SECOND  # older observations are not reported
+OBSERVATION_RETENTION_NS = 10 * SECOND  # older observations are forgotten
+MAX_DOUBTED_COUNT = 64  # servers in one grant
 
 
 class Evidence:
-    """Servers are named `tenant/server`."""
+    """The evidence that one instance has, as holder and as allocator.
+
+    Servers are named `tenant/server`; times are nanoseconds.
+    """
 
     def __init__(self) -> None:
-        self._signals = Signals()  # of all holders that claim from us
-        self._seen: dict[str, tuple[Kind, int]] = {}  # here, and when
-        self._doubts: dict[str, int] = {}  # server -> until when
-        self._backs: dict[str, int] = {}  # the same, of those that answer others again
+        self._signals = Signals()  # of all holders that claim from this instance
+        self._observations: dict[str, tuple[Kind, int]] = {}  # local, with time
+        self._doubted_until: dict[str, int] = {}  # by server
+        self._recovered_until: dict[str, int] = {}  # by server that answers others
 
-    # ---- of our own workers ----
+    # ---- observations of local workers ----
 
     def record_local(self, seen: Mapping[str, tuple[Kind, int]]) -> list[str]:
-        """What a worker saw; returns the servers that it is the first to find out here."""
-        found = [
+        """Record a worker's observations; returns servers newly ejected at this instance."""
+        newly_ejected = [
             server
             for server, (kind, _) in seen.items()
             if kind == Kind.EJECTED and not self.ejected_locally(server)
         ]
-        self._seen |= dict(seen)
-        return found
+        self._observations |= dict(seen)
+        return newly_ejected
 
     def ejected_locally(self, server: str) -> bool:
-        """Whether it was found out here."""
-        return self._seen.get(server, (Kind.ANSWERED, 0))[0] == Kind.EJECTED
+        """Whether a local worker's latest observation is that the server is ejected."""
+        return self._observations.get(server, (Kind.ANSWERED, 0))[0] == Kind.EJECTED
 
     def recent_observations(self, now: int) -> list[Observation]:
-        """What allocators are told."""
+        """The local observations that are recent enough to be sent to allocators."""
         return [
             Observation(server, int(kind), now - at)
-            for server, (kind, at) in self._seen.items()
-            if now - at <= TELL_FOR
+            for server, (kind, at) in self._observations.items()
+            if now - at <= MAX_REPORTED_AGE_NS
         ]
 
     # ---- as an allocator ----
 
     def record(self, now: int, life: bytes, seen: Iterable[Observation]) -> None:
-        """What a holder saw."""
+        """Record the observations of a holder's claim."""
         self._signals.record(now, life, seen)
 
     def verdict(
         self, now: int, seen: Iterable[Observation], tenants: Iterable[str]
     ) -> tuple[list[str], list[str]]:
-        """For a holder that has seen this and claims for these tenants: servers that are doubted,
-        and those of which it says bad things that have answered others since."""
-        doubted = self._signals.doubted(now, tenants)[:MOST_DOUBTED]
+        """The verdict for a holder with these observations that claims for these tenants.
+
+        Returns the doubted servers, and those that the holder ejected but that answer others.
+        """
+        doubted = self._signals.doubted(now, tenants)[:MAX_DOUBTED_COUNT]
         return doubted, self._signals.recovered(now, seen)
 
     # ---- as a holder ----
 
     def apply_verdict(self, now: int, grant: Grant) -> list[str]:
-        """An allocator's verdict; returns the servers that were not doubted before."""
-        fresh = []
+        """Apply an allocator's verdict; returns the servers that were not doubted before."""
+        newly_doubted = []
         for server in grant.doubted:
-            if self._doubts.get(server, 0) <= now:
-                fresh.append(server)
-            self._doubts[server] = now + DOUBT_FOR
+            if self._doubted_until.get(server, 0) <= now:
+                newly_doubted.append(server)
+            self._doubted_until[server] = now + DOUBT_LIFETIME_NS
         for server in grant.back:
-            self._backs[server] = now + BACK_FOR
-        return fresh
+            self._recovered_until[server] = now + RECOVERY_LIFETIME_NS
+        return newly_doubted
 
     def doubted(self, now: int, server: str) -> bool:
-        """Whether it gets one request at a time until it has answered one."""
-        return self._doubts.get(server, 0) > now
+        """Whether the server gets one request at a time until it has answered one."""
+        return self._doubted_until.get(server, 0) > now
 
     def recovered(self, now: int, server: str) -> bool:
-        """Whether it answers others again."""
-        return self._backs.get(server, 0) > now
+        """Whether the server answers other instances again."""
+        return self._recovered_until.get(server, 0) > now
 
     def sweep(self, now: int) -> None:
-        """Forget what is over."""
+        """Drop expired evidence, verdicts and observations."""
         self._signals.sweep(now)
-        self._doubts = {s: until for s, until in self._doubts.items() if until > now}
-        self._backs = {s: until for s, until in self._backs.items() if until > now}
-        self._seen = {s: row for s, row in self._seen.items() if now - row[1] <= KEEP_FOR}
+        self._doubted_until = {s: until for s, until in self._doubted_until.items() if until > now}
+        self._recovered_until = {
+            s: until for s, until in self._recovered_until.items() if until > now
+        }
+        self._observations = {
+            s: row
+            for s, row in self._observations.items()
+            if now - row[1] <= OBSERVATION_RETENTION_NS
+        }
--- a/tansywood/fleet/signals.py
+++ b/tansywood/fleet/signals.py
@@ -1,9 +1,10 @@
-"""What others saw of a server: evidence with age and source, and what may follow from it. Pure.
+"""What instances observed of servers, with age and source, and which servers are doubted. Pure.
 
-Only what an instance saw itself is ever told, with its age, and never told on: hearsay can't feed
-itself, and old news can't come after newer (each source's is taken by its own time). The verdict
-is "doubted": the decision module then tries the server with one request at a time until it has
-answered one. Nothing here takes a server away, and one that only others have named is not used.
+An instance reports only its own observations, with their age, and never relays those of others, so
+no report can confirm itself. Reports of one source are ordered by their own time, so an old one
+can't override a newer one. The only verdict is "doubted": the decision module then tries the server
+with one request at a time until it has answered one. No server is removed because of evidence, and
+a server that only other instances have named is not used.
 """
 
 from __future__ import annotations
@@ -15,83 +16,98 @@
 from tansywood.fleet.messages import Observation
 from tansywood.fleet.terms import SECOND
 
-FRESH = 3 * SECOND  # evidence is believed so long
-SOURCES = 2  # that say the same, at least
-MOST_PART = 0.5  # a source that calls more than this part of what it tells of bad is the bad one
-OLDEST = 60 * SECOND  # evidence told older than this is none
+EVIDENCE_LIFETIME_NS = 3 * SECOND  # older evidence is ignored
+MIN_AGREEING_SOURCES = 2  # that report a server as ejected
+MAX_EJECTED_FRACTION = 0.5  # of a source's servers; beyond it the source is at fault
+MAX_OBSERVATION_AGE_NS = 60 * SECOND  # older observations are dropped on receipt
 
 
 class Kind(IntEnum):
-    """What an instance saw of a server."""
+    """What an instance observed of a server; sent as a number."""
 
-    ANSWERED = 0  # it has answered
-    EJECTED = 1  # ejected: errors in a row, no answer, no connection
+    ANSWERED = 0  # the server has answered
+    EJECTED = 1  # errors in a row, no answer, or no connection
 
 
 @dataclass(frozen=True, slots=True)
-class _Word:
+class _Evidence:
+    """One observation of one source, and when it was made (local time in nanoseconds)."""
+
     kind: Kind
     at: int
 
 
 class Signals:
-    """Evidence of all sources, at an allocator. Servers are named `tenant/server`."""
+    """Evidence of all sources at one allocator. Servers are named `tenant/server`."""
 
     def __init__(self) -> None:
-        self._words: dict[str, dict[bytes, _Word]] = {}
-        self._of: dict[bytes, dict[str, _Word]] = {}
+        self._words: dict[str, dict[bytes, _Evidence]] = {}
+        self._by_source: dict[bytes, dict[str, _Evidence]] = {}
 
     def record(self, now: int, source: bytes, seen: Iterable[Observation]) -> None:
-        """What a source says it saw. Older than what it said before, it changes nothing."""
+        """Record a source's observations; one older than its last on the same server is ignored."""
         for row in seen:
-            if row.kind not in (Kind.ANSWERED, Kind.EJECTED) or row.age > OLDEST:
+            if row.kind not in (Kind.ANSWERED, Kind.EJECTED) or row.age > MAX_OBSERVATION_AGE_NS:
                 continue
-            word = _Word(Kind(row.kind), now - row.age)
+            report = _Evidence(Kind(row.kind), now - row.age)
             known = self._words.get(row.server, {}).get(source)
-            if known is None or word.at > known.at:
-                self._words.setdefault(row.server, {})[source] = word
-                self._of.setdefault(source, {})[row.server] = word
-
-    def sound(self, now: int, source: bytes) -> bool:
-        """Whether a source's bad words count: not where most of what it tells of is bad, for
-        then the fault is more likely its own (its network, its clock)."""
-        words = [w for w in self._of.get(source, {}).values() if now - w.at <= FRESH]
-        bad = sum(w.kind == Kind.EJECTED for w in words)
-        return len(words) < 2 or bad <= MOST_PART * len(words)
+            if known is None or report.at > known.at:
+                self._words.setdefault(row.server, {})[source] = report
+                self._by_source.setdefault(source, {})[row.server] = report
+
+    def is_credible(self, now: int, source: bytes) -> bool:
+        """Whether a source's reports of ejected servers count.
+
+        They don't where more than half of the servers that it reports are ejected: the fault is
+        then more likely its own, such as its network or clock.
+        """
+        reports = [
+            e
+            for e in self._by_source.get(source, {}).values()
+            if now - e.at <= EVIDENCE_LIFETIME_NS
+        ]
+        bad = sum(e.kind == Kind.EJECTED for e in reports)
+        return len(reports) < 2 or bad <= MAX_EJECTED_FRACTION * len(reports)
 
     def doubted(self, now: int, tenants: Iterable[str]) -> list[str]:
-        """Servers of these tenants that at least two sound sources find out, and more of them
-        than find it good."""
-        wanted = set(tenants)
-        found = []
-        for server, words in self._words.items():
-            if server.partition("/")[0] not in wanted:
+        """The doubted servers of these tenants, sorted.
+
+        At least two credible sources report such a server as ejected, and fewer sources report that
+        it answers.
+        """
+        tenant_names = set(tenants)
+        servers = []
+        for server, reports in self._words.items():
+            if server.partition("/")[0] not in tenant_names:
                 continue
-            fresh = {s: w for s, w in words.items() if now - w.at <= FRESH}
-            bad = sum(w.kind == Kind.EJECTED and self.sound(now, s) for s, w in fresh.items())
-            good = sum(w.kind == Kind.ANSWERED for w in fresh.values())
-            if bad >= SOURCES and bad > good:
-                found.append(server)
-        return sorted(found)
+            fresh = {s: e for s, e in reports.items() if now - e.at <= EVIDENCE_LIFETIME_NS}
+            bad = sum(e.kind == Kind.EJECTED and self.is_credible(now, s) for s, e in fresh.items())
+            good = sum(e.kind == Kind.ANSWERED for e in fresh.values())
+            if bad >= MIN_AGREEING_SOURCES and bad > good:
+                servers.append(server)
+        return sorted(servers)
 
     def recovered(self, now: int, seen: Iterable[Observation]) -> list[str]:
-        """Of the servers that this claim calls out, those that have answered somebody since."""
-        found = []
+        """Servers that a claim reports as ejected and that answered some source lately."""
+        servers = []
         for row in seen:
             if row.kind == Kind.EJECTED:
-                words = self._words.get(row.server, {}).values()
-                if any(w.kind == Kind.ANSWERED and now - w.at <= FRESH // 3 for w in words):
-                    found.append(row.server)
-        return found
+                reports = self._words.get(row.server, {}).values()
+                if any(
+                    e.kind == Kind.ANSWERED and now - e.at <= EVIDENCE_LIFETIME_NS // 3
+                    for e in reports
+                ):
+                    servers.append(row.server)
+        return servers
 
     def sweep(self, now: int) -> None:
-        """Forget what is no longer believed."""
+        """Drop evidence that has expired."""
         for server, by_source in list(self._words.items()):
-            for source in [s for s, w in by_source.items() if now - w.at > FRESH]:
+            for source in [s for s, e in by_source.items() if now - e.at > EVIDENCE_LIFETIME_NS]:
                 del by_source[source]
-                rows = self._of.get(source, {})
+                rows = self._by_source.get(source, {})
                 rows.pop(server, None)
                 if not rows:
-                    self._of.pop(source, None)
+                    self._by_source.pop(source, None)
             if not by_source:
                 del self._words[server]
--- a/tansywood/fleet/status.py
+++ b/tansywood/fleet/status.py
@@ -1,7 +1,7 @@
-"""What one instance tells: its workers, what they may use; people, all that it knows. Pure.
+"""Reports of one instance: allocations for its workers, and its status for operators. Pure.
 
-The keys of both are what workers and tools read; they are as they were when allocators were still
-called homes.
+Workers and tools read the keys of both reports. In these keys allocators have their former name,
+homes.
 """
 
 from __future__ import annotations
@@ -18,21 +18,24 @@
 if TYPE_CHECKING:
     from tansywood.fleet.instance import Instance
 
-# Between two words to a worker on a tenant that rests. Renewed twice a second for 1.8 s, what it
-# has holds beyond the next word though one renewal is lost; with 0.75 s here it did not.
+# Between two updates to a worker on an idle tenant. Amounts are renewed twice a second and hold for
+# 1.8 s, so they outlast the next update even if one renewal is lost; with 0.75 s here they did not.
 IDLE_TENANT_UPDATE_INTERVAL_NS = SECOND // 2
 
 
 class LastWorkerUpdate:
-    """What one worker was told last of the tenants that it has."""
+    """When, and at which version, one worker was last sent the amounts of each of its tenants."""
 
     def __init__(self) -> None:
-        self._last: dict[str, tuple[int, int]] = {}  # by tenant: when, and the version then
-        self._version = -1  # at the last word on any of them
+        self._last: dict[str, tuple[int, int]] = {}  # by tenant: time, version
+        self._version = -1  # at the last update of any tenant
 
     def is_due(self, instance: Instance, now: int, tenant: str, demand: Demand) -> bool:
-        """Whether to tell the worker of this tenant now. What rests is told where an amount has
-        changed, and now and then for how long it holds."""
+        """Whether to send the worker this tenant's amounts now.
+
+        A busy tenant is always sent. An idle one is sent when an amount has changed, and at an
+        interval to extend the time for which its amounts hold.
+        """
         last = self._last.get(tenant)
         if last is None or not demand.is_idle or now - last[0] >= IDLE_TENANT_UPDATE_INTERVAL_NS:
             return True
@@ -43,7 +46,7 @@
         )
 
     def keep(self, now: int, version: int, told: Iterable[str], hosted: Iterable[str]) -> None:
-        """These were told just now, at this version; the worker has no others than `hosted`."""
+        """Note that the tenants `told` were sent at this version, and forget all but `hosted`."""
         self._version = version
         self._last |= dict.fromkeys(told, (now, version))
         for tenant in self._last.keys() - set(hosted):
@@ -51,8 +54,10 @@
 
 
 def for_worker(instance: Instance, now: int, worker: str, told: LastWorkerUpdate) -> dict[str, Any]:
-    """Amounts of the tenants that a worker has, and for how many nanoseconds they hold. Those that
-    are not named are as they were told before."""
+    """Amounts of the tenants that a worker hosts, and for how many nanoseconds they hold.
+
+    A tenant that is left out has the amounts that were sent before.
+    """
     working = instance.members.working()
     by_tenant = instance.demands.by_tenant
     hosted = [tenant for tenant, demand in by_tenant.items() if demand.worker == worker]
@@ -61,7 +66,7 @@
         for tenant in hosted
         if told.is_due(instance, now, tenant, by_tenant[tenant])
     }
-    # The version comes last: a look at an amount may have made another one.
+    # The version is read last: computing an amount may have raised it.
     version = instance.holder.version
     told.keep(now, version, tenants, hosted)
     return {
@@ -96,7 +101,7 @@
 
 
 def status(instance: Instance, now: int) -> dict[str, Any]:
-    """Of JSON's types; times are seconds, rates requests a second."""
+    """The instance's status in JSON types; times in seconds, rates in requests per second."""
     addresses, granting = instance.allocator_addresses, instance.granting
     return {
         "name": instance.name,
@@ -113,29 +118,31 @@
         "events": [
             {
                 "ago_s": round((now - at) / SECOND, 1),
-                "name": e.name,
-                "what": e.what,
-                "why": e.why,
+                "name": event.name,
+                "what": event.what,
+                "why": event.why,
             }
-            for at, e in instance.events
+            for at, event in instance.events
         ],
     }
 
 
 def _members(instance: Instance, now: int) -> list[dict[str, Any]]:
     rows = []
-    for name, m in sorted(instance.members.rows.items()):
-        u = m.update
+    for name, member in sorted(instance.members.rows.items()):
+        update = member.update
         rows.append(
             {
                 "name": name,
-                "address": u.address,
-                "state": "drains" if u.drains and m.present else m.state.name.lower(),
-                "for_s": round((now - m.since) / SECOND, 1),
-                "incarnation": u.incarnation,
-                "zone": u.zone,
-                "version": u.version,
-                "home": u.address in instance.allocator_addresses,
+                "address": update.address,
+                "state": "drains"
+                if update.drains and member.present
+                else member.state.name.lower(),
+                "for_s": round((now - member.since) / SECOND, 1),
+                "incarnation": update.incarnation,
+                "zone": update.zone,
+                "version": update.version,
+                "home": update.address in instance.allocator_addresses,
                 "ours": name == instance.name,
             }
         )
@@ -144,7 +151,7 @@
 
 def _share(instance: Instance, now: int, tenant: str, limits: Limits) -> dict[str, Any]:
     demand = instance.demands.by_tenant.get(tenant)
-    row: dict[str, Any] = {
+    share: dict[str, Any] = {
         "rate_per_s": instance.amount(now, rate_key(tenant)) / 1000,
         "of_rate_per_s": limits.rate / 1000,
         "open": instance.amount(now, open_key(tenant)),
@@ -154,6 +161,6 @@
         "doubted": [s for s in limits.servers if instance.evidence.doubted(now, f"{tenant}/{s}")],
     }
     if limits.places:
-        row["places"] = {s: instance.amount(now, places_key(tenant, s)) for s in limits.servers}
-        row["of_places"] = limits.places
-    return row
+        share["places"] = {s: instance.amount(now, places_key(tenant, s)) for s in limits.servers}
+        share["of_places"] = limits.places
+    return share
--- a/tansywood/fleet/subsets.py
+++ b/tansywood/fleet/subsets.py
@@ -1,7 +1,7 @@
 """Which instance uses which servers: rendezvous and deterministic subsets. Pure.
 
-All are here because they are held against one another by balance, by moves for each join and
-leave and by connections opened (`benchmarks/fleet`); the service uses `assigned_servers`.
+The service uses `assigned_servers`. `benchmarks/fleet` compares all of them by balance, by servers
+moved for each join and leave, and by connections opened.
 """
 
 from __future__ import annotations
@@ -14,10 +14,15 @@
 
 
 def score(instance: str, server: str, weight: float = 1.0) -> float:
-    """A pair's rank: -w / ln(h), with h uniform in (0, 1) (Schindelhauer, Schomaker 2005). Of
-    servers scored for one instance each is highest in proportion to its weight."""
-    raw = int.from_bytes(blake2b(f"{instance}\0{server}".encode(), digest_size=8).digest(), "big")
-    return -weight / math.log((raw + 1) / (2**64 + 1))
+    """Weighted rendezvous score: -w / ln(h), h uniform in (0, 1) (Schindelhauer, Schomaker 2005).
+
+    The probability that a server has the highest score for an instance is proportional to its
+    weight.
+    """
+    digest = int.from_bytes(
+        blake2b(f"{instance}\0{server}".encode(), digest_size=8).digest(), "big"
+    )
+    return -weight / math.log((digest + 1) / (2**64 + 1))
 
 
 def rendezvous(
@@ -27,25 +32,30 @@
     zones: Mapping[str, str] | None = None,
     zone: str = "",
 ) -> list[str]:
-    """The `size` servers that score highest for this instance, those of its zone first.
+    """The `size` servers that score highest for this instance, those of its own zone first.
 
-    It depends on nothing but the instance's name and the list: members that join or leave move
-    nobody else's subset. `servers` are weights by name. ValueError where the size is below 1.
+    The subset depends only on the instance's name and the list, so members that join or leave do
+    not change the subsets of others. `servers` are weights by name. ValueError where the size is
+    below 1.
     """
     if size < 1:
         raise ValueError("a subset has at least one server")
-    near = zones or {}
+    server_zones = zones or {}
     return sorted(
         servers,
-        key=lambda s: (near.get(s, zone) != zone, -score(instance, s, servers[s]), s),
+        key=lambda s: (server_zones.get(s, zone) != zone, -score(instance, s, servers[s]), s),
     )[:size]
 
 
 def deterministic(
     instance: str, members: Sequence[str], servers: Sequence[str], size: int
 ) -> list[str]:
-    """Rounds of a shuffled list, each cut into subsets dealt in turn ("Site Reliability
-    Engineering", chapter 20): even to within one, but a member that joins shifts all behind it."""
+    """Deterministic subsetting ("Site Reliability Engineering", chapter 20).
+
+    The servers are shuffled once per round, and each round is cut into subsets that are given to
+    members in order. Servers are used evenly to within one, but a member that joins changes the
+    subsets of all members sorted behind it. ValueError where the size is below 1.
+    """
     if size < 1:
         raise ValueError("a subset has at least one server")
     if not servers:
@@ -53,74 +63,77 @@
     size = min(size, len(servers))
     count = len(servers) // size
     index = sorted(members).index(instance)
-    row = sorted(servers)
-    Random(index // count).shuffle(row)
-    at = index % count
-    return row[at * size : (at + 1) * size]
+    shuffled = sorted(servers)
+    Random(index // count).shuffle(shuffled)
+    position = index % count
+    return shuffled[position * size : (position + 1) * size]
 
 
 def assigned_servers(
     instance: str, members: Sequence[str], servers: Mapping[str, float], places: int
 ) -> list[str]:
-    """The servers that choose this instance: each chooses as many instances as it has places,
-    those that score highest for it. So every server is used, by no more than it has places, and
-    the n-th instance to join takes a part of 1/n from the others.
+    """The servers that choose this instance; every server chooses `places` instances.
 
-    One that no server chooses takes the server that scores highest for it, and waits its turn
-    there. `places` 0: no limit is known, and all use all.
+    A server chooses the instances that score highest for it. So every server is used, by no more
+    instances than it has places, and the n-th instance to join takes 1/n from the others. An
+    instance that no server chooses gets the server that scores highest for it and queues there.
+    `places` 0 means that no limit is known: every instance uses all servers.
     """
     if not servers:
         return []
     if places <= 0 or len(members) <= places:
         return sorted(servers)
-    found = [
+    assigned = [
         s
         for s in sorted(servers)
         if instance in sorted(members, key=lambda m: (-score(m, s, servers[s]), m))[:places]
     ]
-    return found or rendezvous(instance, servers, 1)
+    return assigned or rendezvous(instance, servers, 1)
 
 
-def overlapped(
-    old: Sequence[str], new: Sequence[str], since: int, now: int, span: int
+def with_overlap(
+    old: Sequence[str], new: Sequence[str], since: int, now: int, overlap_ns: int
 ) -> list[str]:
-    """While a change goes through, for `span`, both the old subset and the new are in use: the
-    new ones' connections are opened before the old ones' are let go of."""
-    if now - since >= span:
+    """The servers in use `now` after a change at `since`.
+
+    For `overlap_ns` both subsets are in use, the new one first, so that connections to new servers
+    are opened before those to the old ones are closed.
+    """
+    if now - since >= overlap_ns:
         return list(new)
     return [*new, *(s for s in old if s not in new)]
 
 
 @dataclass(slots=True)
 class _Subset:
-    """Of one tenant: what it was made of, and what it was before its last change."""
+    """The subset of one tenant: its inputs, and the subset before its last change."""
 
-    made_of: object
+    inputs: object
     new: list[str]
     old: list[str]
     since: int
 
 
 class Subsets:
-    """The servers that one instance uses, by tenant; both subsets while a change goes through."""
+    """The servers that one instance uses, by tenant; old and new ones during a change."""
 
-    def __init__(self, instance: str, span: int) -> None:
-        """`span`: how long a change takes, in nanoseconds."""
+    def __init__(self, instance: str, overlap_ns: int) -> None:
+        """`overlap_ns`: how long the old subset stays in use after a change."""
         self._instance = instance
-        self._span = span
-        self._rows: dict[str, _Subset] = {}
+        self._overlap_ns = overlap_ns
+        self._by_tenant: dict[str, _Subset] = {}
 
     def servers_in_use(
         self, now: int, tenant: str, members: Sequence[str], servers: Sequence[str], places: int
     ) -> list[str]:
-        """Of this tenant's servers, with so many places at each."""
-        made_of = (tuple(members), tuple(servers), places)
-        known = self._rows.get(tenant)
-        if known is None or known.made_of != made_of:
+        """The servers of a tenant that this instance uses now; `places` is a server's limit."""
+        inputs = (tuple(members), tuple(servers), places)
+        known = self._by_tenant.get(tenant)
+        if known is None or known.inputs != inputs:
             new = assigned_servers(self._instance, members, dict.fromkeys(servers, 1.0), places)
             if known is None:
-                known = self._rows[tenant] = _Subset(made_of, new, new, now - self._span)
+                known = self._by_tenant[tenant] = _Subset(inputs, new, new, now - self._overlap_ns)
             elif known.new != new:
                 known.old, known.new, known.since = known.new, new, now
-            known.made_of = made_of
-        return overlapped(known.old, known.new, known.since, now, self._span)
+            known.inputs = inputs
+        return with_overlap(known.old, known.new, known.since, now, self._overlap_ns)
--- a/tansywood/fleet/turns.py
+++ b/tansywood/fleet/turns.py
@@ -1,7 +1,8 @@
-"""What one instance does for all: who has the turn, and when the next one takes over. Pure.
+"""Turns: which instance does a task for the whole fleet, and when the next takes over. Pure.
 
-A turn is soft: both sides of a split have one each. It is for what may be done twice (a try of a
-server that rests, a look), never for what must not: that takes a lease.
+A turn is not exclusive: in a network split each side has a turn for the same task. It suits tasks
+that may be done twice, such as a probe of an ejected server. A task that must not be done twice
+needs a lease.
 """
 
 from __future__ import annotations
@@ -11,30 +12,36 @@
 from tansywood.fleet.subsets import score
 from tansywood.fleet.terms import SECOND
 
-STEP = SECOND  # each next one waits so much longer before it takes over
-MOST = 3  # steps
+TAKEOVER_STEP_NS = SECOND  # added wait of each next member in the ranking
+MAX_TAKEOVER_STEPS = 3
 
 
 def rank_members(task: str, members: Iterable[str]) -> list[str]:
-    """The members by their rank for a task. A member that comes or goes moves only its own
-    tasks, and tasks spread evenly over members."""
+    """The members ranked for a task, the first one has the turn.
+
+    A member that joins or leaves moves only its own tasks, and tasks spread evenly over members.
+    """
     return sorted(members, key=lambda m: (-score(m, task), m))
 
 
 def position(task: str, members: Iterable[str], name: str) -> int:
-    """0 where it is this one's turn; the number of those before it. All that are not members
-    come behind all that are."""
-    row = rank_members(task, members)
-    return row.index(name) if name in row else len(row)
+    """The number of members ranked before this one; 0 means that it has the turn.
+
+    A name that is not a member is ranked behind all members.
+    """
+    ranked = rank_members(task, members)
+    return ranked.index(name) if name in ranked else len(ranked)
 
 
 def takeover_delay(task: str, members: Iterable[str], name: str) -> int:
-    """How long this one leaves a task that is due to others, unless another's word comes: not at
-    all where it is its turn, a step for each before it, of whom none can have done it. At most
-    three steps: more than three in a row are lost with most of the fleet."""
-    return min(position(task, members, name), MOST) * STEP
+    """How long a member waits before it takes over a due task, in nanoseconds.
+
+    The wait is one step for each member ranked before it, 0 for the one that has the turn. It is at
+    most three steps: more than three members in a row are down only if most of the fleet is.
+    """
+    return min(position(task, members, name), MAX_TAKEOVER_STEPS) * TAKEOVER_STEP_NS
 
 
 def phase_offset(name: str, period: int) -> int:
-    """Where in a period this one does what everybody does once in it: the sum stays flat."""
+    """A member's own offset in a period, so that periodic tasks of all members are spread out."""
     return int(score(name, "phase") * 2**32) % period
