--- a/tansywood/fleet/members.py
+++ b/tansywood/fleet/members.py
@@ -40,19 +40,19 @@
 
 PROBE_INTERVAL_NS = 500 * MS  # between two probes while the local health count is 0
 PROBE_TIMEOUT_NS = 200 * MS  # for a direct answer; indirect ones have the rest of the interval
-NACK_TIMEOUT_FRACTION = 0.8  # of the probe timeout; then a helper reports no answer
+NACK_TIMEOUT_FRACTION = 0.8  # of the probe timeout, after which a helper sends a nack
 INDIRECT_PROBE_COUNT = 3  # members asked to probe a target that did not answer
 MIN_SUSPICION_MULTIPLIER = 4.0  # shortest suspicion: probe intervals times log10(fleet)
 MAX_TO_MIN_SUSPICION_RATIO = 6.0  # longest suspicion over the shortest one
-CONFIRMATION_COUNT = 3  # by other members, at which a suspicion is the shortest
-MAX_HEALTH_COUNT = 8  # probe intervals and timeouts grow up to this plus one times
-GOSSIP_MULTIPLIER = 4  # each member sends an update this often, times log10 of the fleet
-MAX_GOSSIP_UPDATES = 6  # in one datagram
+CONFIRMATION_COUNT = 3  # accusers beyond the first that make a suspicion the shortest
+MAX_HEALTH_COUNT = 8  # probe times are multiplied by the health count plus one
+GOSSIP_MULTIPLIER = 4  # each member sends one update 4 * log10(fleet) times
+MAX_GOSSIP_UPDATES = 6  # member updates in one ping, ack or indirect probe
 SYNC_INTERVAL_NS = 10 * SECOND  # between two exchanges of all member records
 JOIN_SYNC_INTERVAL_NS = 250 * MS  # while no other member is known
 RECONNECT_INTERVAL_NS = 5 * SECOND  # between contacts of a lost member or an unknown seed address
 GONE_MEMBER_RETENTION_NS = 60 * SECOND  # of lost and left members: old updates can't revive them
-MAX_SYNC_UPDATES = 12  # in one datagram
+MAX_SYNC_UPDATES = 12  # member updates in one datagram of a full exchange
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
     """A change for operators to read: the member's name, what changed, and why."""
 
     name: str
-    what: str  # joined, suspect, lost, back, left, drains, taken, conflict
+    what: str  # one word, for example joined, suspect, lost, back, left, conflict
     why: str
 
 
@@ -87,9 +87,11 @@
 
 @dataclass(slots=True)
 class _Probe:
+    """This instance's probe of one member, until its answer or deadline (nanoseconds)."""
+
     seq: int
     target: str
-    sent_at: int  # times in nanoseconds
+    sent_at: int
     indirect_probe_at: int
     deadline: int
     indirect_sent: bool = False
@@ -264,7 +266,7 @@
             if m.update.state == State.SUSPECT and now >= m.suspicion_ends_at:
                 why = (
                     f"no answer for {(now - m.suspected_at) / SECOND:.1f} s, "
-                    f"accused by {len(m.accusers)}"
+                    f"members that accuse it: {len(m.accusers)}"
                 )
                 self._set_state(now, m.update, State.LOST, why)
             elif m.update.state >= State.LOST and now - m.since > GONE_MEMBER_RETENTION_NS:
@@ -461,7 +463,7 @@
             return
         if update.state == State.SUSPECT and rank(update)[:3] == rank(m.update)[:3]:
             if m.update.state <= State.SUSPECT:
-                self._accuse(now, update, update.accuser or reporter, f"told by {reporter}")
+                self._accuse(now, update, update.accuser or reporter, f"reported by {reporter}")
             return
         if rank(update) <= rank(m.update):
             return
@@ -472,15 +474,15 @@
         if update.state <= State.SUSPECT:
             self._alive_or_suspect(now, update, reporter)
         else:
-            self._set_state(now, update, State(update.state), f"told by {reporter}")
+            self._set_state(now, update, State(update.state), f"reported by {reporter}")
 
     def _alive_or_suspect(
         self, now: int, update: MemberUpdate, reporter: str, what: str = ""
     ) -> None:
         """Record a member as alive, then accuse it where the update says that it is suspect."""
-        self._set_state(now, update, State.ALIVE, f"told by {reporter}", what)
+        self._set_state(now, update, State.ALIVE, f"reported by {reporter}", what)
         if update.state == State.SUSPECT:
-            self._accuse(now, update, update.accuser or reporter, f"told by {reporter}")
+            self._accuse(now, update, update.accuser or reporter, f"reported by {reporter}")
 
     def _apply_own_update(self, now: int, update: MemberUpdate, reporter: str) -> None:
         own = self.own
--- a/tansywood/fleet/status.py
+++ b/tansywood/fleet/status.py
@@ -45,15 +45,17 @@
             for key in instance.entitlement.limits_by_tenant[tenant]
         )
 
-    def keep(self, now: int, version: int, told: Iterable[str], hosted: Iterable[str]) -> None:
-        """Note that the tenants `told` were sent at this version, and forget all but `hosted`."""
+    def record(self, now: int, version: int, sent: Iterable[str], hosted: Iterable[str]) -> None:
+        """Note that the tenants `sent` were sent at this version, and forget all but `hosted`."""
         self._version = version
-        self._last |= dict.fromkeys(told, (now, version))
+        self._last |= dict.fromkeys(sent, (now, version))
         for tenant in self._last.keys() - set(hosted):
             del self._last[tenant]
 
 
-def for_worker(instance: Instance, now: int, worker: str, told: LastWorkerUpdate) -> dict[str, Any]:
+def for_worker(
+    instance: Instance, now: int, worker: str, last_update: LastWorkerUpdate
+) -> dict[str, Any]:
     """Amounts of the tenants that a worker hosts, and for how many nanoseconds they hold.
 
     A tenant that is left out has the amounts that were sent before.
@@ -64,11 +66,11 @@
     tenants = {
         tenant: _tenant_for_worker(instance, now, tenant, working)
         for tenant in hosted
-        if told.is_due(instance, now, tenant, by_tenant[tenant])
+        if last_update.is_due(instance, now, tenant, by_tenant[tenant])
     }
     # The version is read last: computing an amount may have raised it.
     version = instance.holder.version
-    told.keep(now, version, tenants, hosted)
+    last_update.record(now, version, tenants, hosted)
     return {
         "version": version,
         "instances": max(len(working), 1),
--- a/tests/fleet/test_seal.py
+++ b/tests/fleet/test_seal.py
@@ -35,9 +35,9 @@
     return Seal(keys or (A,), binding, bytes([life]) * 16)
 
 
-def refusal(at: Seal, data: bytes) -> str:
+def refusal(receiver: Seal, data: bytes) -> str:
     with pytest.raises(SealError) as caught:
-        at.open(data)
+        receiver.open(data)
     return caught.value.reason
 
 
