--- a/tansywood/fleet/members.py
+++ b/tansywood/fleet/members.py
@@ -203,13 +203,13 @@
         """Announce that this instance takes no new work."""
         if not self.own.drains:
             self._advance_incarnation(now, drains=True)
-            self.events.append(Event(self.own.name, "drains", "drain requested"))
+            self.events.append(Event(self.own.name, "drains", "told to"))
 
     def resume(self, now: int) -> None:
         """Announce that this instance takes new work again."""
         if self.own.drains:
             self._advance_incarnation(now, drains=False)
-            self.events.append(Event(self.own.name, "back", "resume requested"))
+            self.events.append(Event(self.own.name, "back", "told to take on work again"))
 
     def leave(self, now: int) -> None:
         """Leave the fleet for good.
@@ -266,7 +266,7 @@
             if m.update.state == State.SUSPECT and now >= m.suspicion_ends_at:
                 why = (
                     f"no answer for {(now - m.suspected_at) / SECOND:.1f} s, "
-                    f"members that accuse it: {len(m.accusers)}"
+                    f"told by {len(m.accusers)}"
                 )
                 self._set_state(now, m.update, State.LOST, why)
             elif m.update.state >= State.LOST and now - m.since > GONE_MEMBER_RETENTION_NS:
@@ -340,7 +340,7 @@
         self.health = min(self.health + (silent if probe.helper_count else 1), MAX_HEALTH_COUNT)
         m = self.rows.get(probe.target)
         if m is not None and m.update.state == State.ALIVE:
-            self._accuse(now, m.update, self.own.name, "no answer to a direct or indirect probe")
+            self._accuse(now, m.update, self.own.name, "it did not answer us")
 
     def _check_relayed_probes(self, now: int) -> None:
         for seq, relayed in list(self._relayed.items()):
@@ -463,7 +463,7 @@
             return
         if update.state == State.SUSPECT and rank(update)[:3] == rank(m.update)[:3]:
             if m.update.state <= State.SUSPECT:
-                self._accuse(now, update, update.accuser or reporter, f"reported by {reporter}")
+                self._accuse(now, update, update.accuser or reporter, f"told by {reporter}")
             return
         if rank(update) <= rank(m.update):
             return
@@ -474,15 +474,15 @@
         if update.state <= State.SUSPECT:
             self._alive_or_suspect(now, update, reporter)
         else:
-            self._set_state(now, update, State(update.state), f"reported by {reporter}")
+            self._set_state(now, update, State(update.state), f"told by {reporter}")
 
     def _alive_or_suspect(
         self, now: int, update: MemberUpdate, reporter: str, what: str = ""
     ) -> None:
         """Record a member as alive, then accuse it where the update says that it is suspect."""
-        self._set_state(now, update, State.ALIVE, f"reported by {reporter}", what)
+        self._set_state(now, update, State.ALIVE, f"told by {reporter}", what)
         if update.state == State.SUSPECT:
-            self._accuse(now, update, update.accuser or reporter, f"reported by {reporter}")
+            self._accuse(now, update, update.accuser or reporter, f"told by {reporter}")
 
     def _apply_own_update(self, now: int, update: MemberUpdate, reporter: str) -> None:
         own = self.own
@@ -492,7 +492,7 @@
                 if update.born <= own.born and not self.conflict:
                     self.conflict = update.address
                     self.events.append(
-                        Event(own.name, "conflict", f"{update.address} already uses this name")
+                        Event(own.name, "conflict", f"{update.address} has this name already")
                     )
                 return
             if update.address != own.address and update.address == self.conflict:
@@ -505,9 +505,7 @@
             # Others hold this instance for suspect or lost; a higher incarnation refutes it.
             self.health = min(self.health + 1, MAX_HEALTH_COUNT)
             self._advance_incarnation(now, incarnation=update.incarnation + 1)
-            self.events.append(
-                Event(own.name, "refuted", f"{reporter} reported this instance as suspect or lost")
-            )
+            self.events.append(Event(own.name, "refuted", f"{reporter} took us for lost"))
 
     def _accuse(self, now: int, update: MemberUpdate, accuser: str, why: str) -> None:
         """Suspect a member, or confirm its suspicion, for `accuser`, whose own probe failed.
