--- a/tansywood/distribution/client.py
+++ b/tansywood/distribution/client.py
@@ -1,4 +1,4 @@
-"""A subscriber on sockets: dials, timers, messages. Nothing is decided here."""
+"""Connects a subscriber to sockets: dials, timers, messages. `Subscriber` makes all decisions."""
 
 from __future__ import annotations
 
@@ -26,22 +26,25 @@
 )
 from windrelay.config import parse_address
 
-MIN_TIMER_DELAY_NS = MS  # of a timer
-STALL_THRESHOLD_NS = 200 * MS  # a timer that comes so late tells that this process stood still
+MIN_TIMER_DELAY_NS = MS  # shortest delay of a timer
+STALL_THRESHOLD_NS = 200 * MS  # a timer that fires this late shows that the process was stalled
 
 Dialer = Callable[[str, Callable[[], SealedStream]], Coroutine[Any, Any, object]]
 Handler = Callable[[Action], None]
 
 
 async def dial(address: str, make_stream: Callable[[], SealedStream]) -> object:
-    """Connect to IPv4:port. OSError where nobody is there."""
+    """Connect to IPv4:port. Raises OSError where the connection fails."""
     loop = asyncio.get_running_loop()
     return await loop.create_connection(make_stream, *parse_address(address))
 
 
 class SubscriberClient:
-    """Keeps one subscriber connected. `handle` is given what it is to do beyond sockets: Apply,
-    Answer, Continued, HistoryChanged; `overheard` each message that was taken."""
+    """Keeps one subscriber connected.
+
+    `handle` receives the actions that need no socket: Apply, Answer, EpochContinued,
+    HistoryChanged. `on_message` receives each message that the subscriber accepted.
+    """
 
     def __init__(
         self,
@@ -69,28 +72,32 @@
         self._messages = 0
 
     def start(self) -> None:
+        """Start dialling and the timer."""
         self._tick()
 
     def stop(self) -> None:
+        """Stop the timer and close all connections."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         for task in self._tasks:
             task.cancel()
         for stream in list(self._attempts):
-            stream.abort("this subscriber ends")
+            stream.abort("this subscriber is stopping")
 
     def applied(self, batch: int, refusals: tuple[Refusal, ...] = ()) -> None:
-        """What was to be put into force is, but for what is refused."""
+        """A batch is in force, except for the refused resources."""
         self.subscriber.applied(batch, time.monotonic_ns(), refusals)
         self.flush()
 
     def lookup(self, aliases: list[str]) -> int:
+        """Look up the owners of aliases. Returns the number of the Answer that follows."""
         question = self.subscriber.lookup(aliases, time.monotonic_ns())
         self.flush()
         return question
 
     def unsubscribe(self, uids: list[str]) -> None:
+        """Drop these resources and end their subscriptions."""
         self.subscriber.unsubscribe(uids, time.monotonic_ns())
         self.flush()
 
@@ -100,14 +107,14 @@
         return self.subscriber.link is Link.UP
 
     def send(self, message: Message) -> bool:
-        """Say something of one's own, such as sums of rollouts; False where nobody hears it."""
+        """Send a message of the caller, such as rollout counts. False while not connected."""
         if self._stream is None or not self.connected:
             return False
         self._stream.send(message)
         return True
 
     def totals(self) -> tuple[int, int, int]:
-        """Bytes received and sent, and messages both ways, over all connections so far."""
+        """Bytes received, bytes sent, and messages both ways, of all connections so far."""
         streams = list(self._attempts)
         return (
             self._bytes_in + sum(s.bytes_in for s in streams),
@@ -115,12 +122,12 @@
             self._messages + sum(s.messages_in + s.messages_out for s in streams),
         )
 
-    # ---- a stream's calls ------------------------------------------------------------------
+    # ---- calls from the streams ------------------------------------------------------------
 
     def opened(self, stream: SealedStream) -> None:
         attempt = self._attempts[stream]
         if attempt not in self.subscriber.dialing:
-            stream.abort("too late: another answered first, or this one in vain")
+            stream.abort("answered too late: the dial timed out, or another source was first")
             return
         self._stream = stream
         self.subscriber.connected(attempt, time.monotonic_ns())
@@ -140,7 +147,7 @@
         self.flush()
 
     def writable(self, stream: SealedStream) -> None:
-        """What a subscriber says is bounded by itself: it does not wait for this."""
+        """A subscriber sends little, so its messages are written without waiting for this."""
 
     def closed(self, stream: SealedStream, why: str) -> None:
         attempt = self._attempts.pop(stream, None)
@@ -153,10 +160,10 @@
             self.subscriber.disconnected(attempt, time.monotonic_ns(), why)
             self.flush()
 
-    # ---- the parts -------------------------------------------------------------------------
+    # ---- actions and timers ----------------------------------------------------------------
 
     def flush(self) -> None:
-        """Do what the subscriber wants done, and see to it that the timer is early enough."""
+        """Carry out the subscriber's actions, and make sure that the timer fires early enough."""
         while self.subscriber.actions:
             actions, self.subscriber.actions = self.subscriber.actions, []
             for action in actions:
@@ -188,14 +195,14 @@
         try:
             await asyncio.wait_for(self._dialer(action.address, make_stream), timeout)
         except (OSError, TimeoutError) as err:
-            # A dial that is given up as it connects is closed by uvloop without connection_lost.
-            for stream in self._abort(action.attempt, "given up while it was dialed"):
+            # uvloop closes a dial that is cancelled while it connects without connection_lost.
+            for stream in self._abort(action.attempt, "the dial failed or timed out"):
                 self._attempts.pop(stream, None)
             self.subscriber.disconnected(action.attempt, time.monotonic_ns(), str(err) or "late")
             self.flush()
 
     def _abort(self, number: int, why: str) -> list[SealedStream]:
-        """Close an attempt's connection now; returns it where there is one."""
+        """Close an attempt's connection at once. Returns its streams: one, or none."""
         streams = [stream for stream, attempt in self._attempts.items() if attempt == number]
         for stream in streams:
             if stream is self._stream:
@@ -204,8 +211,8 @@
         return streams
 
     def _set_timer(self) -> None:
-        """For what is due next. A timer that is set for earlier stays: set anew with each message
-        it would never run while messages come without a pause."""
+        """Set the timer for the next due time. A timer set for an earlier time stays: one that each
+        message restarted would never fire while messages arrive without a pause."""
         due = max(self.subscriber.next_due(), time.monotonic_ns() + MIN_TIMER_DELAY_NS)
         if self._timer is not None:
             if self._timer_due <= due:
@@ -222,7 +229,7 @@
         now = time.monotonic_ns()
         self._timer = None
         if now - self._timer_due > STALL_THRESHOLD_NS:
-            # This process stood still: what came in the meantime is read before silence is judged.
+            # The process was stalled: read what arrived meanwhile before testing for silence.
             self._start_timer(now + MIN_TIMER_DELAY_NS)
         else:
             self._tick()
--- a/tansywood/distribution/dialing.py
+++ b/tansywood/distribution/dialing.py
@@ -1,10 +1,11 @@
-"""Which source a subscriber dials, and when. Pure.
-
-Each subscriber has its own order of the sources, so that those of a lost one spread over all
-others. Before the next dial after a loss there is full jitter (Brooker, "Exponential Backoff And
-Jitter", 2015). A source that does not answer soon is not waited for: the next one is dialled beside
-it (as in Happy Eyeballs, RFC 8305) until each was tried once; then it is one at a time, so that a
-long loss costs few dials. A source that said when to come back is not dialled before.
+"""Decides which source a subscriber dials, and when. This module does no I/O.
+
+Each subscriber has its own order of the sources, so that the subscribers of a lost source spread
+over all others. After a loss the next dial waits with full jitter (Brooker, "Exponential Backoff
+And Jitter", 2015). Where a source does not answer soon, the next one is dialled in parallel (as in
+Happy Eyeballs, RFC 8305) until each source was tried once. After that there is one dial at a time,
+so that a long outage costs few dials. A source that named a retry time is not dialled before that
+time.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """A dial that is open, by the number that names its connection from now on."""
+    """An open dial. `number` identifies its connection, `deadline` is when it counts as failed."""
 
     number: int
     address: str
@@ -29,13 +30,13 @@
 
 
 class Dialing:
-    """Open dials, the time of the next one, and who barred us until when. `due` is in force
-    while no source is followed."""
+    """Keeps the open dials, the time of the next one (`due`), and the retry times that sources
+    named. It is used while the subscriber follows no source."""
 
     def __init__(
         self, name: str, addresses: Sequence[str], parameters: Parameters, random: Random, now: int
     ) -> None:
-        """`name` is the subscriber's, `addresses` are those of all sources."""
+        """`name` is the subscriber's name, `addresses` are those of all sources."""
         self.addresses = sorted(addresses, key=lambda address: _preference_key(name, address))
         self.due = now
         self._parameters = parameters
@@ -43,7 +44,7 @@
         self._open: dict[int, Attempt] = {}
         self._last_number = 0
         self._next_address = 0
-        self._failures = 0  # since the last welcome
+        self._failures = 0  # dials and connections that failed since the last welcome
         self._not_before: dict[str, int] = {}
 
     def __contains__(self, number: object) -> bool:
@@ -53,12 +54,13 @@
         return len(self._open)
 
     def next_due(self) -> int:
-        """When something is to be done, while no source is followed."""
+        """The time of the next dial or of the next expiry, while no source is followed."""
         return min([self.due, *(attempt.deadline for attempt in self._open.values())])
 
     def next_attempt(self, now: int) -> Attempt | None:
-        """The dial that is due: of the next source that did not bar us and is not being dialled.
-        Where there is none it waits for the first that takes us."""
+        """Return the dial that is due, or None. It goes to the next source that is not being
+        dialled and whose retry time has passed. Where no source qualifies, the next dial waits for
+        the earliest retry time."""
         if now < self.due:
             return None
         dialled = {attempt.address for attempt in self._open.values()}
@@ -79,18 +81,18 @@
         return attempt
 
     def expired(self, now: int) -> list[int]:
-        """Those that were not answered in time; each is then to be told as `failed`."""
+        """Numbers of the dials past their deadline. The caller has to report each to `failed`."""
         return [attempt.number for attempt in self._open.values() if now >= attempt.deadline]
 
     def answered(self, number: int) -> tuple[Attempt, list[int]]:
-        """This one is followed; returns it and the others, which are to be closed."""
+        """This dial was answered first. Returns it and the numbers of the others, to be closed."""
         attempt = self._open.pop(number)
         others = list(self._open)
         self._open.clear()
         return attempt, others
 
     def failed(self, number: int, now: int) -> str:
-        """An open dial came to nothing; returns its address."""
+        """An open dial failed. Returns its address."""
         previous_due = self.due
         address = self._open.pop(number).address
         self.source_lost(now)
@@ -99,7 +101,7 @@
         return address
 
     def source_lost(self, now: int) -> None:
-        """The source that was followed is lost: the next one after a random while."""
+        """The followed source is lost or a dial failed: the next dial waits with full jitter."""
         bound = self._parameters.reconnect_backoff_base_ns << min(self._failures, 16)
         self.due = now + self._random.randrange(
             min(bound, self._parameters.max_reconnect_backoff_ns) + 1
@@ -107,16 +109,16 @@
         self._failures += 1
 
     def defer(self, address: str, now: int, wait: int) -> None:
-        """Dial this one again not before that time, and a random while."""
+        """Do not dial this source again for `wait` nanoseconds plus a random delay."""
         wait += self._random.randrange(self._parameters.reconnect_backoff_base_ns + 1)
         self._not_before[address] = now + wait
 
     def welcomed(self) -> None:
-        """A source has taken us."""
+        """A source has admitted the subscriber: forget all failures and retry times."""
         self._failures = 0
         self._not_before.clear()
 
 
 def _preference_key(name: str, address: str) -> bytes:
-    """Rendezvous hashing (Thaler and Ravishankar 1996): each subscriber's own order."""
+    """Rendezvous hashing (Thaler and Ravishankar 1996) gives each subscriber its own order."""
     return blake2b(f"{name} {address}".encode(), digest_size=8).digest()
--- a/tansywood/distribution/refusals.py
+++ b/tansywood/distribution/refusals.py
@@ -1,4 +1,4 @@
-"""What a stream refuses of what its peer sends, in words: which peer, what, and what to do."""
+"""Log messages for frames and messages that a stream refuses: the peer, the fault, the remedy."""
 
 from __future__ import annotations
 
@@ -6,36 +6,37 @@
 
 from tansywood.distribution.parameters import SECOND
 
-LOG_INTERVAL_NS = 10 * SECOND  # of one reason; whoever sends what is refused may send much of it
+# Each reason is logged at most once in this interval, since a faulty peer may send many bad frames.
+LOG_INTERVAL_NS = 10 * SECOND
 
 REMEDIES = {
-    "stranger": "give both the same key file; a new key goes in as the first line everywhere, "
-    "then the old one is taken out",
-    "forged": "give both the same fleet name; if they have it, something on the way alters bytes",
-    "replay": "nobody of the fleet sends a frame twice: look at what is on the way",
-    "short": "another program speaks at this address: look who it is",
-    "version": "another program speaks at this address, or another version of this one",
-    "oversize": "another program speaks at this address, or a resource is over its size",
-    "message": "run the same version of the program at both",
-    "protocol": "run the same version of the program at both",
-    "truncated": "the connection broke in a message: nothing where it is rare",
+    "stranger": "give both ends the same key file; to change the key, insert the new key as the "
+    "first line everywhere, then remove the old one",
+    "forged": "give both ends the same fleet name; if they have it, the network path alters bytes",
+    "replay": "members of the fleet never send a frame twice: check the network path",
+    "short": "another program sends from this address: find out which",
+    "version": "another program, or another version of this one, sends from this address",
+    "oversize": "another program sends from this address, or a resource exceeds its maximum size",
+    "message": "run the same version of the program at both ends",
+    "protocol": "run the same version of the program at both ends",
+    "truncated": "the connection broke within a message: no action needed unless it happens often",
 }
 
 
 def describe_refusal(reason: str, detail: str) -> str:
-    """What was refused, and what to do about it."""
+    """The refusal with its remedy."""
     return f"{detail}: {REMEDIES[reason]}"
 
 
 class RefusalLog:
-    """Says of each reason now and then how often, who was the last, and what to do."""
+    """Logs refusals per reason at a limited rate: their count, the last peer, and the remedy."""
 
     def __init__(self, log: Callable[[str], None]) -> None:
         self._log = log
-        self._logged_at: dict[str, int] = {}  # when, by reason
+        self._logged_at: dict[str, int] = {}  # time of the last line, by reason
 
     def record(self, reason: str, count: int, peer: str, detail: str, now: int) -> None:
-        """`count` is how many of this reason there were so far, `peer` the last one's address."""
+        """`count` is the total for this reason so far, `peer` the address of the latest peer."""
         logged_at = self._logged_at.get(reason)
         if logged_at is None or now - logged_at >= LOG_INTERVAL_NS:
             self._logged_at[reason] = now
--- a/tansywood/distribution/server.py
+++ b/tansywood/distribution/server.py
@@ -1,4 +1,4 @@
-"""A source on sockets: streams in, sessions out. Nothing is decided here."""
+"""Connects a source to sockets: one stream per session. `Source` makes all decisions."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from windrelay.config import Address, parse_address
 
 TICK_INTERVAL_NS = 100 * MS
-STALL_THRESHOLD_NS = 200 * MS  # a tick that comes so late tells that this process stood still
+STALL_THRESHOLD_NS = 200 * MS  # a tick that runs this late shows that the process was stalled
 LISTEN_BACKLOG = 1024
-MAX_MESSAGES_PER_TURN = 4  # that are sent to one session before all others have their turn
+MAX_MESSAGES_PER_TURN = 4  # sent to one session before the others get their turn
 
 MessageHandler = Callable[[Session, Message], None]
 
 
 class SourceServer:
-    """Listens for subscribers of one source. `overheard` is told each message that was taken."""
+    """Listens for the subscribers of one source. `on_message` receives each accepted message."""
 
     def __init__(
         self,
@@ -48,12 +48,12 @@
         self._tick_timer: asyncio.TimerHandle | None = None
         self._turn_handle: asyncio.Handle | None = None
         self._tick_due = 0
-        self.bytes_out = 0  # of connections that have ended
+        self.bytes_out = 0  # of closed connections
         self.bytes_in = 0
-        self.longest_stall_ns = 0  # nanoseconds that this process did nothing else
+        self.longest_stall_ns = 0  # longest delay of a tick, in which the process did nothing else
 
     async def start(self, address: Address) -> Address:
-        """Listen; returns the address, with the port that was free where 0 was asked for."""
+        """Listen. Returns the address; for port 0 it has the port that the system chose."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._make_stream, *address, backlog=LISTEN_BACKLOG)
         self._tick_due = time.monotonic_ns()
@@ -62,11 +62,12 @@
         return Address(host, port)
 
     async def listen(self, text: str) -> str:
-        """The same for IPv4:port as settings have it. ValueError where it is none."""
+        """Listen at IPv4:port as written in settings. Raises ValueError for a malformed address."""
         host, port = await self.start(parse_address(text))
         return f"{host}:{port}"
 
     def stop(self) -> None:
+        """Stop listening and close all connections once their queued data is sent."""
         if self._tick_timer is not None:
             self._tick_timer.cancel()
         if self._turn_handle is not None:
@@ -74,20 +75,20 @@
         if self._server is not None:
             self._server.close()
         for stream in list(self._streams.values()):
-            stream.close("this source ends")
+            stream.close("this source is stopping")
 
     def flush(self) -> None:
-        """Send what is ready; call it after anything was told to the source."""
+        """Send what is ready. Has to be called after each event that is reported to the source."""
         for number in list(self.source.ready):
             self._send_ready(number)
 
     def totals(self) -> tuple[int, int]:
-        """Bytes received and sent, over all connections so far."""
+        """Bytes received and bytes sent, of all connections so far."""
         streams = self._streams.values()
         received = self.bytes_in + sum(stream.bytes_in for stream in streams)
         return received, self.bytes_out + sum(stream.bytes_out for stream in streams)
 
-    # ---- a stream's calls ------------------------------------------------------------------
+    # ---- calls from the streams ------------------------------------------------------------
 
     def opened(self, stream: SealedStream) -> None:
         number = self.source.opened(time.monotonic_ns())
@@ -105,7 +106,7 @@
             return
         if self._on_message is not None:
             self._on_message(self.source.sessions[number], message)
-        self._schedule_turn()  # once for all messages that came in one read
+        self._schedule_turn()  # one turn for all messages of one read
 
     def writable(self, stream: SealedStream) -> None:
         number = self._numbers.get(stream)
@@ -126,18 +127,18 @@
         session = self.source.sessions[number]
         self.source.closed(number, time.monotonic_ns())
         if session.name:
-            self._log(f"{session.name} is gone: {why}")
+            self._log(f"{session.name} disconnected: {why}")
         if self._on_close is not None:
             self._on_close(session)
 
-    # ---- the parts -------------------------------------------------------------------------
+    # ---- sending and ticks -----------------------------------------------------------------
 
     def _make_stream(self) -> SealedStream:
         return SealedStream(self, self._keys, self._fleet, False, self.refused)
 
     def _send_ready(self, number: int) -> None:
-        """One turn of a session. One that is sent everything would hold up all others for as long
-        as its end reads as fast as this one writes."""
+        """Send a few messages to a session. Without the limit, a session that is sent everything
+        would block all others as long as its subscriber reads as fast as the source writes."""
         stream = self._streams.get(number)
         if stream is None:
             self.source.ready.discard(number)
@@ -155,7 +156,7 @@
         self._schedule_turn()
 
     def _schedule_turn(self) -> None:
-        """Go on behind what the loop has to do meanwhile."""
+        """Continue after the events that the loop has queued meanwhile."""
         if self._turn_handle is None:
             self._turn_handle = asyncio.get_running_loop().call_soon(self._run_turn)
 
@@ -164,7 +165,7 @@
         self.flush()
 
     def _tick(self) -> None:
-        """Time in which this process stood still, and so read nothing, is nobody's silence."""
+        """Time in which the process was stalled and read nothing does not count as silence."""
         now = time.monotonic_ns()
         late = now - self._tick_due
         self.longest_stall_ns = max(self.longest_stall_ns, late)
--- a/tansywood/distribution/source.py
+++ b/tansywood/distribution/source.py
@@ -1,13 +1,14 @@
-"""A source's side of distribution: sessions of subscribers over one replica. Pure.
+"""The source's side of distribution: subscriber sessions over one replica. No I/O.
 
-Publisher and distributors are both sources. Each session has a queue with one place for each
-resource that has changed since it was last sent, so it is bounded by what is subscribed to and a
-slow subscriber gets the latest state, not the history. The queue is in the order of the
-resources' last changes: a resource that changes again while it waits goes to the end. So all
-changes before the first one that waits have been sent, and a subscriber may resume from there.
+The publisher and the distributors are sources. Each session has a queue with one entry per resource
+that has changed since it was last sent. The queue is therefore bounded by the number of
+subscriptions, and a slow subscriber receives the latest state instead of every change. The queue is
+ordered by the resources' last changes: a resource that changes again while it is queued moves to
+the end. All changes before the first queued one have therefore been sent, and a subscriber can
+resume from there.
 
-Whoever does I/O tells what happens, and takes messages with `next_message` only while a
-session's transport takes more, so nobody waits for anybody else.
+The I/O layer reports events to the source and takes messages with `next_message` only while the
+session's transport accepts more, so that no session waits for another.
 """
 
 from __future__ import annotations
@@ -41,31 +42,30 @@
 from tansywood.distribution.replica import Replica
 from tansywood.tenancy.limits import Bucket
 
-MAX_BATCH_RESOURCES = 1_024  # resources in one message
-MAX_NAMED_INSTANCES = 5  # instances that are named of those that lag or refuse
+MAX_BATCH_RESOURCES = 1_024  # in one message
+MAX_NAMED_INSTANCES = 5  # of those that lag, and of those that refuse, in one rollout
 NOT_READY_RETRY_MS = 500
 TOO_MANY_REASON = "too many at once"
 STALE_REASON = "this source has not heard the publisher lately"
 BEHIND_EPOCH_REASON = "this source has not come up to the beginning of its epoch"
 OUTDATED_RETRY_MS = 1_000
-MAX_RETRY_AFTER_NS = 5 * SECOND  # that one who is turned away is told to wait
+MAX_RETRY_AFTER_NS = 5 * SECOND  # longest wait that a rejected subscriber is told
 FULL_COMPARISON_RETRY_MS = 500
-MAX_SESSION_REFUSALS = 1_024  # kept of one session
-MAX_MOVED_NAMES = 4_096  # names in one message
-MAX_CONTROL_MESSAGES = (
-    1_024  # answers that wait for one subscriber; more questions are not answered
-)
-MAX_TRACKED_CHANGES = 256  # changes whose rollout is followed
+MAX_SESSION_REFUSALS = 1_024  # kept per session
+MAX_MOVED_NAMES = 4_096  # in one message
+# Answers queued for one subscriber; further lookups are dropped.
+MAX_CONTROL_MESSAGES = 1_024
+MAX_TRACKED_CHANGES = 256  # changes whose rollout is tracked
 TRACKED_CHANGE_RETENTION_NS = 60 * SECOND
 
 
 class ProtocolError(ValueError):
-    """A subscriber said what it may not say now; its session ends."""
+    """A peer sent a message that is not allowed in the current state; its session ends."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Pending:
-    """Why a resource waits: its last change, and whether the subscriber has that state."""
+    """A queued resource: its last change, and whether the subscriber already has that state."""
 
     revision: int
     unchanged: bool = False
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class _RecentChange:
-    """A change whose rollout is followed; `dropped` counts who has put a removal into force."""
+    """A tracked change; `removed_count` counts the subscribers that applied a removal."""
 
     revision: int
     changed_at: int  # time
@@ -85,67 +85,70 @@
     """One subscriber's connection."""
 
     number: int
-    last_received: int  # time
+    last_received: int  # time of the last message from the subscriber
     last_heartbeat: int  # time of the last heartbeat
     name: str = ""
     everything: bool = False
     welcomed: bool = False
-    open_comparisons: int = 0  # lists of versions that are awaited; the last one counts
-    catching_up: bool = False  # what a comparison found has not all been sent
-    newest_held: int = 0  # the newest revision of this epoch that it may hold anything of
-    progress: int = 0  # all up to there has been sent
-    applied: int = 0  # all up to there is in force there
+    open_comparisons: int = 0  # lists of versions still expected; only the last one is used
+    catching_up: bool = False  # differences found by a comparison are not all sent yet
+    newest_held: int = 0  # the newest revision of this epoch that the subscriber may hold
+    progress: int = 0  # all changes up to this revision have been sent
+    applied: int = 0  # all changes up to this revision are in force at the subscriber
     subscriptions: set[str] = field(default_factory=set)
     compared_uids: set[str] = field(default_factory=set)
-    backlog: list[str] = field(default_factory=list)  # sent before `pending`, from its end
+    # Resources that are sent before `pending`, the last one first.
+    backlog: list[str] = field(default_factory=list)
     pending: OrderedDict[str, _Pending] = field(default_factory=OrderedDict)
     refusals: OrderedDict[str, Refusal] = field(default_factory=OrderedDict)
-    unapplied_lookups: dict[str, int] = field(
-        default_factory=dict
-    )  # by which lookup; not in force there yet
+    # The lookup that found each resource which is not in force at the subscriber yet.
+    unapplied_lookups: dict[str, int] = field(default_factory=dict)
     control: deque[Message] = field(default_factory=deque)
     lookup_bucket: Bucket | None = None
-    moved: bool = False  # its instance has come to another distributor since
-    closing: bool = False  # closed once what it has to be told is sent
+    moved: bool = False  # the instance has since connected to another distributor
+    closing: bool = False  # the connection is closed once all control messages are sent
 
     @property
     def comparing(self) -> bool:
+        """Whether the subscriber still has to send its versions."""
         return self.open_comparisons > 0
 
     @property
     def has_unsent(self) -> bool:
-        """Whether there is something to be sent of what it subscribes to."""
+        """Whether changed resources are queued for the subscriber."""
         return bool(self.backlog or self.pending)
 
     def has_applied(self, uid: str, revision: int) -> bool:
-        """Whether a change is in force there."""
+        """Whether a change is in force at the subscriber."""
         return not self.is_waiting_for(uid, revision) and not self.has_refused(uid, revision)
 
     def is_waiting_for(self, uid: str, revision: int) -> bool:
-        """Whether it has neither put a change into force nor refused it, as far as is known."""
+        """Whether, as far as the source knows, the change is neither in force nor refused there."""
         return (self.applied < revision or uid in self.unapplied_lookups) and not self.has_refused(
             uid, revision
         )
 
     def has_refused(self, uid: str, revision: int) -> bool:
+        """Whether the subscriber refused this change or a later one of the resource."""
         refusal = self.refusals.get(uid)
         return refusal is not None and refusal.revision >= revision
 
 
 @dataclass(frozen=True, slots=True)
 class _DepartedInstance:
-    """An instance whose connection ended and that has not been heard of since."""
+    """An instance whose connection ended and that has not connected anywhere since."""
 
     forget_at: int
     applied: int
     subscriptions: frozenset[str]
 
     def is_waiting_for(self, uid: str, revision: int) -> bool:
+        """Whether the instance subscribed to the resource and lacked the change when it left."""
         return self.applied < revision and uid in self.subscriptions
 
 
 class Source:
-    """Sessions over one replica; counters only grow."""
+    """Manages the sessions over one replica. The message counters never decrease."""
 
     def __init__(
         self, replica: Replica, parameters: Parameters, now: int, is_publisher: bool
@@ -155,10 +158,10 @@
         self.is_publisher = is_publisher
         self.serving = is_publisher
         self.sessions: dict[int, Session] = {}
-        self.ready: set[int] = set()  # sessions that have something to be sent
+        self.ready: set[int] = set()  # sessions with messages to send
         self.publisher_heard_at = now
-        self.outdated_by: Position | None = None  # a subscriber knew a later history than ours
-        self.joined: list[str] = []  # instances since the last report upwards
+        self.outdated_by: Position | None = None  # a later history that a subscriber knew
+        self.joined: list[str] = []  # instances that connected since the last report
         self.messages_out = 0
         self.messages_in = 0
         self._subscribers: dict[str, set[int]] = {}
@@ -167,25 +170,25 @@
         self._departed: dict[str, _DepartedInstance] = {}
         self._recent: OrderedDict[str, _RecentChange] = OrderedDict()  # the last change of each uid
         self._recent_epoch = replica.epoch
-        self._unreported: dict[str, None] = {}  # recent ones whose sums may have changed
+        self._unreported: dict[str, None] = {}  # recent changes whose counts may differ now
         self._reported: dict[str, Rollout] = {}
-        self._reported_revision = 0  # the revision
+        self._reported_revision = 0  # all changes up to it have been reported
         self._admission = Bucket(now, parameters.admissions_per_s, parameters.admission_burst)
         self._admission.fill()
-        self._last_retry_at = now  # when the last one that was turned away was told to come back
+        self._last_retry_at = now  # the latest retry time told to a rejected subscriber
         self._next_number = 1
 
-    # ---- what happens ----------------------------------------------------------------------
+    # ---- events ----------------------------------------------------------------------------
 
     def opened(self, now: int) -> int:
-        """A connection, by the number that names its session from now on."""
+        """A connection was opened. Returns the number that identifies its session."""
         number = self._next_number
         self._next_number += 1
         self.sessions[number] = Session(number, last_received=now, last_heartbeat=now)
         return number
 
     def closed(self, number: int, now: int) -> None:
-        """A connection has ended."""
+        """A connection has ended. An instance counts as waiting for some time, as it may return."""
         session = self.sessions.pop(number, None)
         if session is None:
             return
@@ -203,12 +206,12 @@
                 )
 
     def received(self, number: int, now: int, message: Message) -> None:
-        """ProtocolError where the subscriber may not say this."""
+        """Handle a message. Raises ProtocolError where the subscriber may not send it now."""
         session = self.sessions[number]
         session.last_received = now
         if session.moved:
-            # It is here after all. The publisher was told otherwise, perhaps of a connection
-            # elsewhere that was dead and not noticed: it hears so again, and tells the other one.
+            # The instance is connected here after all. The publisher was told otherwise, perhaps
+            # because of a dead connection elsewhere. It is told again and informs that distributor.
             self._set_moved(session, False)
             self.joined.append(session.name)
         self.messages_in += 1
@@ -226,27 +229,29 @@
             self._drop_subscriptions(session, message)
         elif isinstance(message, Versions):
             self._on_versions(session, message)
-        elif not isinstance(message, Rollouts):  # those are the publisher's own to sum up
+        elif not isinstance(message, Rollouts):  # the publisher handles those itself
             raise ProtocolError(f"{type(message).__name__} is not for a source")
 
     def changed(self, uid: str, revision: int, now: int) -> None:
-        """A resource of the replica is another; revisions only grow."""
+        """A resource of the replica has changed. Revisions must increase."""
         self._track_change(uid, revision, now)
         for number in (*self._subscribers.get(uid, ()), *self._everything):
             session = self.sessions[number]
-            session.pending.pop(uid, None)  # it goes to the end: see the module's text
+            # The resource moves to the end of the queue: see the module docstring.
+            session.pending.pop(uid, None)
             session.pending[uid] = _Pending(revision)
             self.ready.add(number)
 
     def note_publisher_heard(self, heard_at: int) -> None:
-        """When the publisher, or a source next to it, was heard last."""
+        """Record when the publisher was last heard, directly or through another source."""
         self.publisher_heard_at = max(self.publisher_heard_at, heard_at)
 
     def epoch_continued(self, now: int) -> None:
-        """The replica went over to an epoch that continues its own history.
+        """The replica changed to an epoch that continues its own history.
 
-        Who holds something newer than this epoch's beginning has to compare; not here, while we
-        have not come up to that beginning ourselves: ours may be older.
+        A subscriber that holds anything newer than the beginning of this epoch has to compare.
+        While this source has not reached that beginning itself, its state may be older than the
+        subscriber's, so it ends such sessions instead.
         """
         self._recent_epoch = self.replica.epoch
         parent = self.replica.parent.revision
@@ -262,7 +267,7 @@
             self._welcome(session, now, compare)
 
     def stop_serving(self) -> None:
-        """The replica is about to change its history: everybody comes again afterwards."""
+        """The replica is about to change its history: end all sessions; subscribers reconnect."""
         self.serving = False
         if self._recent_epoch != self.replica.epoch:
             self._recent_epoch = self.replica.epoch
@@ -279,10 +284,10 @@
             )
 
     def moved(self, names: Iterable[str]) -> None:
-        """These instances have come to another distributor: they are not waited for here.
+        """These instances connected to another distributor and no longer count as waiting here.
 
-        A session that is still open here is dead, and nobody has noticed yet, unless something
-        is heard on it: then its instance has come back.
+        A session of such an instance that is still open here is a dead connection not detected yet,
+        unless a message arrives on it: then the instance has returned.
         """
         for name in names:
             departed = self._departed.pop(name, None)
@@ -299,7 +304,7 @@
                 self._mark_unreported(uid)
 
     def reset_report(self) -> None:
-        """The source above knows nothing of before: the next report says all that is known."""
+        """The upstream source has no earlier reports: make the next one complete."""
         self._reported.clear()
         self._reported_revision = 0
         self._unreported = dict.fromkeys(self._recent)
@@ -310,7 +315,7 @@
         ]
 
     def send_moved(self, distributor: str, names: list[str]) -> None:
-        """Tell a distributor so."""
+        """Tell a distributor that these instances have connected to another one."""
         number = self._by_name.get(distributor)
         if number is None:
             return
@@ -321,7 +326,7 @@
             self.ready.add(number)
 
     def tick(self, now: int) -> list[int]:
-        """Heartbeats that are due become ready. Returns sessions to be closed for silence."""
+        """Mark sessions with a due heartbeat as ready. Returns silent sessions, to be closed."""
         silent = []
         for number, session in self.sessions.items():
             if now - session.last_received >= self.parameters.silence_timeout_ns:
@@ -337,10 +342,10 @@
             del self._departed[name]
         return silent
 
-    # ---- what is to be sent ----------------------------------------------------------------
+    # ---- sending ---------------------------------------------------------------------------
 
     def next_message(self, number: int, now: int) -> Message | None:
-        """The next one of a session; None where it has nothing to be told now."""
+        """Take the next message of a session; None where there is nothing to send now."""
         session = self.sessions[number]
         message = self._choose_message(session, now)
         if message is None:
@@ -361,7 +366,7 @@
         return None
 
     def _progress(self, session: Session, now: int) -> Progress:
-        """Due each heartbeat, whatever else is said: only this tells the publisher's age."""
+        """Only heartbeats carry the publisher's age, so they are sent even among other messages."""
         session.last_heartbeat = now
         whole = not session.comparing and not session.has_unsent
         if whole:
@@ -414,7 +419,7 @@
     def _publisher_age_ms(self, now: int) -> int:
         return 0 if self.is_publisher else max(now - self.publisher_heard_at, 0) // MS
 
-    # ---- a subscriber's messages -----------------------------------------------------------
+    # ---- messages from subscribers ---------------------------------------------------------
 
     def _on_hello(self, session: Session, now: int, hello: Hello) -> None:
         if session.welcomed:
@@ -462,7 +467,7 @@
         return Position(position.epoch, min(position.revision, hello.whole))
 
     def _retry_after_ms(self, now: int, wait: int) -> int:
-        """Those who are turned away are told times one after the other, at the admitted rate."""
+        """Rejected subscribers get successive retry times, spaced at the admission rate."""
         self._last_retry_at = max(
             self._last_retry_at + round(SECOND / self.parameters.admissions_per_s), now + wait
         )
@@ -470,7 +475,7 @@
         return (self._last_retry_at - now) // MS + 1
 
     def _full_comparison_count(self) -> int:
-        """How many subscribers of everything compare, or are sent what differs."""
+        """How many subscribers of all resources compare, or are being sent the differences."""
         sessions = [self.sessions[number] for number in self._everything]
         return sum(session.comparing or session.catching_up for session in sessions)
 
@@ -498,8 +503,8 @@
         self._welcome(session, now, compare)
 
     def _end_previous_session(self, name: str) -> None:
-        """A session of this name is there already: its connection is dead, or its name is used
-        twice."""
+        """End an earlier session with this name: its connection is dead, or two subscribers use
+        the same name."""
         number = self._by_name.get(name)
         if number is None:
             return
@@ -535,8 +540,11 @@
             session.pending[uid] = _Pending(changed)
 
     def _subscribed_changes_after(self, session: Session, revision: int) -> list[tuple[int, str]]:
-        """What has changed of some subscriptions, in the order of the last changes. An instance
-        has far fewer of them than there are recent changes, and many come back at once."""
+        """Subscribed resources that changed after `revision`, in the order of their last changes.
+
+        This goes through the subscriptions instead of the recent changes: an instance has far fewer
+        of them, and many instances reconnect at once.
+        """
         known = ((self._last_change_revision(uid), uid) for uid in session.subscriptions)
         return sorted(change for change in known if change[0] > revision)
 
@@ -544,13 +552,14 @@
         entry = self.replica.entries.get(uid)
         if entry is not None:
             return entry.revision
-        # A removal that is known may be that of an earlier one: where we were whole it was not.
+        # The known removal may be an earlier one. At its consistent revision the replica was complete
+        # and did not have this resource.
         return max(self.replica.resource(uid).revision, self.replica.consistent_revision)
 
     def _on_versions(self, session: Session, versions: Versions) -> None:
         if not session.comparing:
             raise ProtocolError("versions that nobody asked for")
-        if session.open_comparisons > 1:  # it did not know of the last welcome yet
+        if session.open_comparisons > 1:  # this list answers an earlier welcome
             session.open_comparisons -= versions.last
             return
         for row in versions.rows:
@@ -567,10 +576,10 @@
             self._end_comparison(session)
 
     def _end_comparison(self, session: Session) -> None:
-        """All that differs waits now: bring it into the order of the last changes.
+        """All differences are queued: sort them by their last changes.
 
-        Until all of it is sent no progress is claimed: what was compared has no place among the
-        recent changes, so a reconnect in between has to compare again.
+        No progress is reported until all of them are sent. The differences need not be among the
+        recent changes, so a subscriber that reconnects earlier has to compare again.
         """
         if session.everything and not session.compared_uids:
             self._begin_backlog(session)
@@ -586,8 +595,9 @@
         self.ready.add(session.number)
 
     def _begin_backlog(self, session: Session) -> None:
-        """For one that holds nothing: all there is, but for what has changed since it came. Only
-        names wait here: places in the queue would hold up all other sessions while they are made.
+        """For a subscriber that holds nothing, list all resources except those already queued.
+
+        The backlog holds only uids: creating a queue entry for each would delay other sessions.
         """
         entries = self.replica.entries
         missing = [uid for uid in entries if uid not in session.pending]
@@ -597,7 +607,7 @@
     def _answer_lookup(self, session: Session, now: int, lookup: Lookup) -> None:
         assert session.lookup_bucket is not None
         if session.lookup_bucket.take(now) or len(session.control) >= MAX_CONTROL_MESSAGES:
-            return  # it asks more often than its terms say; its own time limit answers it
+            return  # the instance exceeds its lookup rate; this lookup times out there
         uids = [self.replica.owner(alias) for alias in lookup.aliases]
         first: list[Resource] = []
         rest: list[Resource] = []
@@ -625,7 +635,7 @@
 
     def _record_acknowledgement(self, session: Session, acknowledge: Acknowledge) -> None:
         if session.comparing:
-            return  # said of the epoch before
+            return  # the acknowledgement refers to the previous epoch
         session.applied = acknowledge.revision
         for uid, question in list(session.unapplied_lookups.items()):
             if acknowledge.answered is None or question <= acknowledge.answered:
@@ -663,10 +673,10 @@
         session.closing = True
         self.ready.add(session.number)
 
-    # ---- how far changes have come ---------------------------------------------------------
+    # ---- rollouts --------------------------------------------------------------------------
 
     def rollout(self, uid: str, revision: int) -> Rollout:
-        """How far a change has come among the instances here."""
+        """The progress of a change among the instances of this source."""
         subscribed = (self.sessions[n] for n in sorted(self._subscribers.get(uid, ())))
         sessions = [session for session in subscribed if not session.moved]
         refusing = [s for s in sessions if s.has_refused(uid, revision)]
@@ -686,7 +696,7 @@
         )
 
     def report(self, now: int) -> Rollouts | None:
-        """What is news of the rollouts of recent changes, for the source above."""
+        """Rollouts of recent changes that differ from the last report, for the upstream source."""
         while (
             self._recent
             and now - next(iter(self._recent.values())).changed_at > TRACKED_CHANGE_RETENTION_NS
@@ -714,7 +724,7 @@
             self._untrack_oldest_change()
 
     def _untrack_oldest_change(self) -> None:
-        """Of the oldest change."""
+        """Stop tracking the rollout of the oldest change."""
         uid, _ = self._recent.popitem(last=False)
         self._unreported.pop(uid, None)
         self._reported.pop(uid, None)
--- a/tansywood/distribution/stream.py
+++ b/tansywood/distribution/stream.py
@@ -1,10 +1,9 @@
-"""Sealed messages on a stream: the fleet's seal, one life for each end of each connection.
+"""Sealed messages on a stream, sealed with the fleet's keys.
 
-Each end begins with sixteen random bytes, its life on this connection. All that follows are frames:
-four bytes of length, big-endian, then a sealed message. Both lives are bound into every seal, so
-nothing that was recorded on one connection can be played into another, and whoever does not hold a
-key of the fleet is found out at the first frame. What is refused is counted by its reason, and told
-with its remedy.
+Each end begins with sixteen random bytes, its life: the nonce of this end of this connection.
+Frames follow: a big-endian length of four bytes, then a sealed message. Every seal covers both
+lives, so a recording of one connection is refused on any other, and a peer without a key of the
+fleet is refused at its first frame. Refusals are counted by reason and reported with their remedy.
 """
 
 from __future__ import annotations
@@ -23,20 +22,19 @@
 from tansywood.fleet.seal import Seal, SealError
 
 FRAME_LENGTH = struct.Struct(">I")
-MAX_SEALED_BYTES = MAX_FRAME_BYTES + 64
-WRITE_HIGH_WATER_BYTES = (
-    256 << 10
-)  # bytes that wait for a peer that does not read; more is not taken
+MAX_SEALED_BYTES = MAX_FRAME_BYTES + 64  # a message and its seal
+# Once more than this is buffered for a peer that reads slowly, its owner sends nothing more.
+WRITE_HIGH_WATER_BYTES = 256 << 10
 
 
 class Keys(Protocol):
-    """The fleet's keys, the first seals; read anew for each connection."""
+    """Returns the fleet's keys; the first one seals. Called again for each connection."""
 
     def __call__(self) -> Sequence[bytes]: ...
 
 
 class Owner(Protocol):
-    """Who is told what happens on a stream."""
+    """Receives the events of a stream."""
 
     def opened(self, stream: SealedStream) -> None: ...
 
@@ -48,12 +46,12 @@
 
 
 class SealedStream(asyncio.Protocol):
-    """One connection. `refused` counts what is not taken, over all streams of a process."""
+    """One connection. `refused` counts refusals by reason, over all streams of the process."""
 
     def __init__(
         self, owner: Owner, keys: Keys, fleet: str, is_connector: bool, refused: Counter[str]
     ) -> None:
-        """`connector` tells the two ends of a connection apart."""
+        """`is_connector` is true at the end that opened the connection."""
         self._owner = owner
         self._keys = keys
         self._fleet = fleet
@@ -65,7 +63,7 @@
         self._buffer = bytearray()
         self._transport: asyncio.Transport | None = None
         self._close_reason = "closed by the other end"
-        self.refusal = ""  # the reason for which the connection was ended
+        self.refusal = ""  # the reason for which this end refused the peer, or empty
         self.peer = "an unknown address"
         self.paused = False
         self.bytes_in = 0
@@ -73,10 +71,10 @@
         self.messages_in = 0
         self.messages_out = 0
 
-    # ---- the transport's calls -------------------------------------------------------------
+    # ---- calls from the transport ----------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # uvloop's transports are no subclass of asyncio.Transport, so that can't be asserted.
+        # uvloop's transports do not derive from asyncio.Transport, so an assertion would fail.
         self._transport = cast(asyncio.Transport, transport)
         self._transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         address = transport.get_extra_info("peername")
@@ -88,7 +86,9 @@
         if exc is not None:
             self._close_reason = str(exc)
         if self._buffer:
-            self._record_refusal("truncated", f"a message that was cut short: {self._close_reason}")
+            self._record_refusal(
+                "truncated", f"the connection ended within a message: {self._close_reason}"
+            )
         self._transport = None
         self._owner.closed(self, self._close_reason)
 
@@ -110,7 +110,7 @@
     # ---- sending and closing ---------------------------------------------------------------
 
     def send(self, message: Message) -> None:
-        """Nothing where the connection is closed by now, or has not been opened."""
+        """Send a message. Does nothing before the peer's life has arrived or after the end."""
         if self._seal is None or self._transport is None:
             return
         sealed = self._seal.seal(pack(message))
@@ -118,24 +118,24 @@
         self._write(FRAME_LENGTH.pack(len(sealed)) + sealed)
 
     def close(self, why: str) -> None:
-        """Send what waits, then close."""
+        """Close the connection once all buffered data is sent."""
         self._close_reason = why
         if self._transport is not None:
             self._transport.close()
 
     def abort(self, why: str) -> None:
-        """Close now; what waits is dropped."""
+        """Close the connection at once and drop buffered data."""
         self._close_reason = why
         if self._transport is not None:
             self._transport.abort()
 
     def refuse(self, reason: str, detail: str) -> None:
-        """Take nothing more from this peer; counted, and told by `closed`."""
+        """Count a refusal and close the connection; the owner's `closed` receives the reason."""
         self._record_refusal(reason, detail)
         self._buffer.clear()
         self.abort(self._close_reason)
 
-    # ---- the parts -------------------------------------------------------------------------
+    # ---- frames ----------------------------------------------------------------------------
 
     def _write(self, data: bytes) -> None:
         if self._transport is not None:
@@ -162,7 +162,9 @@
             return None
         (length,) = FRAME_LENGTH.unpack_from(self._buffer)
         if length > MAX_SEALED_BYTES:
-            self.refuse("oversize", f"a frame of {length} bytes; {MAX_SEALED_BYTES} at most")
+            self.refuse(
+                "oversize", f"a frame of {length} bytes; at most {MAX_SEALED_BYTES} are allowed"
+            )
             return None
         end = FRAME_LENGTH.size + length
         if len(self._buffer) < end:
@@ -179,10 +181,10 @@
                 raise SealError("forged")
             message = unpack(body)
         except SealError as err:
-            self.refuse(err.reason, f"a message that is not sealed for us: {err.reason}")
+            self.refuse(err.reason, f"a message without a valid seal: {err.reason}")
             return
         except MessageError as err:
-            self.refuse("message", f"no message of this protocol: {err}")
+            self.refuse("message", f"a message that does not belong to this protocol: {err}")
             return
         self.messages_in += 1
         self._owner.received(self, message)
--- a/tansywood/distribution/subscriber.py
+++ b/tansywood/distribution/subscriber.py
@@ -1,12 +1,12 @@
-"""A subscriber's side of distribution: which source to follow, resuming there, heartbeats. Pure.
+"""The subscriber's side of distribution: choosing a source, resuming, heartbeats. No I/O.
 
-An instance and a distributor are both subscribers; a distributor wants everything. Events and the
-time go in; actions are left in `actions` for whoever does I/O, in the order in which they are to
-be done. One connection at a time: while there is none, all that is held stays in force.
+Instances and distributors are subscribers; a distributor subscribes to all resources. The I/O layer
+reports events with the current time and carries out `actions` in their order. A subscriber follows
+one source at a time. While it has no connection, everything that it holds stays in force.
 
-Rules that live here: a source of an older history is left at once; a source that does not hear the
-publisher is left for one that does. `dialing` decides which source is dialled when, `Subscriber`
-follows the first that answers.
+A subscriber leaves a source of an older history at once. It leaves a source that does not hear the
+publisher for one that does. `Dialing` decides when to dial which source; `Subscriber` follows the
+first one that answers.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Dial:
-    """Connect to a source; `connected` or `disconnected` is told with the attempt's number."""
+    """Connect to a source; report the result to `connected` or `disconnected` with `attempt`."""
 
     attempt: int
     address: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
-    """Close the attempt's connection; nothing more is told of it."""
+    """Close the attempt's connection and report no further events of it."""
 
     attempt: int
     why: str
@@ -61,13 +61,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Send a message to the followed source."""
+
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """Put these into force as the replica has them now, then tell `applied` with the number.
-    Where the replica has none it was removed."""
+    """Put the replica's current state of these resources into force, then call `applied` with the
+    batch number. A resource that the replica does not have was removed."""
 
     batch: int
     uids: tuple[str, ...]
@@ -75,8 +77,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a lookup found: a uid for each alias, empty where it is nobody's. None where nobody
-    could say in time."""
+    """The result of a lookup: one uid per alias, empty where the alias has no owner. `uids` is None
+    where no source answered in time."""
 
     question: int
     uids: tuple[str, ...] | None
@@ -84,20 +86,20 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochContinued:
-    """The replica went over to an epoch that continues its history."""
+    """The replica changed to an epoch that continues its history."""
 
 
 @dataclass(frozen=True, slots=True)
 class HistoryChanged:
-    """The replica goes over to another history, or (of a distributor) missed changes that nobody
-    can tell any more; a comparison tells what still holds."""
+    """The replica changes to another history, or a distributor's replica missed changes that no
+    source remembers. A comparison determines which held state is still valid."""
 
 
 Action = Dial | Disconnect | Send | Apply | Answer | EpochContinued | HistoryChanged
 
 
 class Link(Enum):
-    """Where the connection to a source stands."""
+    """State of the connection to a source."""
 
     DOWN = "down"
     DIALING = "dialing"
@@ -107,20 +109,24 @@
 
 @dataclass(slots=True)
 class _OpenLookup:
+    """A lookup without an answer, and the serial number of the last message that asked for it."""
+
     aliases: tuple[str, ...]
     deadline: int
     retry_at: int = NEVER
-    serial: int = 0  # of the message that asks it
+    serial: int = 0  # of the last message that asked for it
 
 
 @dataclass(slots=True)
 class _Batch:
+    """Resources that are put into force together, and the progress that this completes."""
+
     number: int
     progress: int
     uids: tuple[str, ...] = ()
-    lookup: int = 0  # the lookup whose answer this is
+    lookup: int = 0  # the lookup that this batch answers, 0 for none
     done: bool = False
-    obsolete: bool = False  # its revisions are those of a history that is not ours any more
+    obsolete: bool = False  # its revisions belong to a history that was left
 
 
 class Subscriber:
@@ -139,52 +145,53 @@
         """`addresses` are those of all sources; each subscriber has its own order of them."""
         self.name = name
         self.replica = replica
-        self.subscriptions: set[str] = set()  # of an instance, at the source that is followed
+        self.subscriptions: set[str] = set()  # of an instance, at the followed source
         self.parameters = parameters
         self.everything = everything
         self.actions: list[Action] = []
         self.link = Link.DOWN
         self.dialing = Dialing(name, addresses, parameters, random, now)
-        self.connections = 0  # welcomes, over time
+        self.connections = 0  # welcomes received so far
         self.losses = 0
         self.left_stale = 0
         self.last_loss = ""
-        self.attempt = 0  # that is followed; while none is, the last one that was dialled
-        self.address = self.dialing.addresses[0]  # that is followed, or was dialled last
-        self._welcome_due = NEVER  # from the source that is greeted
+        self.attempt = 0  # the followed attempt, or else the last dialled one
+        # The address of the followed source, or else the last dialled one.
+        self.address = self.dialing.addresses[0]
+        self._welcome_due = NEVER  # deadline for the welcome after a hello
         self._last_received = now
         self._last_sent = now
         self._publisher_heard_at: int | None = None
         self._next_stale_check = now
         self._stale_check_backoff = parameters.stale_check_backoff_base_ns
-        self._stale_switches_left = (
-            0  # others that may still be asked for one that hears the publisher
-        )
+        # Other sources that may still be asked for one that hears the publisher.
+        self._stale_switches_left = 0
         self._open_lookups: OrderedDict[int, _OpenLookup] = OrderedDict()
         self._next_lookup = 1
         self._next_serial = 1
-        self._lookup_by_serial: dict[
-            int, int
-        ] = {}  # of open questions, by the message that asks each
-        self._unsubscribed_before: OrderedDict[str, int] = OrderedDict()  # before which serial
+        # Open lookups by the serial number of the message that asked last.
+        self._lookup_by_serial: dict[int, int] = {}
+        # Answers to lookups with an earlier serial number do not subscribe to the resource.
+        self._unsubscribed_before: OrderedDict[str, int] = OrderedDict()
         self._pending_batches: deque[_Batch] = deque()
         self._next_batch = 1
         self._acknowledged = 0
-        self._applied_lookup = 0  # what lookups up to this one found is in force
-        self._partial_lookup: tuple[int, set[str]] = (0, set())  # a lookup, what follows its answer
-        self._current_refusals: dict[str, Refusal] = {}  # what is refused of what is held
-        self._unsent_refusals: dict[str, Refusal] = {}  # of these, what the source was not told yet
+        self._applied_lookup = 0  # results of lookups up to this serial are in force
+        # The lookup whose answer is incomplete, and the resources that still follow.
+        self._partial_lookup: tuple[int, set[str]] = (0, set())
+        self._current_refusals: dict[str, Refusal] = {}  # refused states of held resources
+        self._unsent_refusals: dict[str, Refusal] = {}  # refusals not sent to the source yet
 
     # ---- the connection --------------------------------------------------------------------
 
     def publisher_age(self, now: int) -> int | None:
-        """How long ago the publisher was heard, by way of whatever source; None: never."""
+        """Nanoseconds since the publisher was heard through any source; None where it never was."""
         if self._publisher_heard_at is None:
             return None
         return max(now - self._publisher_heard_at, 0)
 
     def connected(self, attempt: int, now: int) -> None:
-        """The first that answers is followed; the others are closed before they are told of us."""
+        """Follow the first source that answers; other dials are closed before they get a hello."""
         if attempt not in self.dialing:
             return
         answered, others = self.dialing.answered(attempt)
@@ -219,13 +226,14 @@
         self._send(hello, now)
 
     def disconnected(self, attempt: int, now: int, why: str = "closed") -> None:
+        """A dial failed, or the connection to the followed source ended."""
         if attempt in self.dialing:
             self._dial_failed(attempt, now, why)
         elif attempt == self.attempt and self.link in (Link.GREETING, Link.UP):
             self._connection_lost(now, why)
 
     def tick(self, now: int) -> None:
-        """Do what is due; call it at `next_due` at the latest."""
+        """Do whatever is due. Has to be called by the time that `next_due` returns."""
         if self.link in (Link.DOWN, Link.DIALING):
             self._dial(now)
         elif self.link is Link.GREETING:
@@ -238,6 +246,7 @@
         self._retry_lookups(now)
 
     def next_due(self) -> int:
+        """The time by which `tick` has to be called next."""
         if self.link is Link.UP:
             due = min(
                 self._last_received + self.parameters.silence_timeout_ns,
@@ -253,7 +262,7 @@
         return due
 
     def _dial(self, now: int) -> None:
-        """End dials that were not answered in time, and make the one that is due."""
+        """End dials that were not answered in time, and start the one that is due."""
         for attempt in self.dialing.expired(now):
             why = f"no welcome in {self.parameters.dial_timeout_ns // MS} ms"
             self.actions.append(Disconnect(attempt, why))
@@ -275,13 +284,13 @@
         self._connection_lost(now, why)
 
     def _on_busy(self, now: int, busy: Busy) -> None:
-        """Go elsewhere; back here not before the time that was told, and a random while."""
+        """The source is busy: do not dial it again before its retry time plus a random delay."""
         self.dialing.defer(self.address, now, busy.retry_after_ms * MS)
         self._stale_switches_left = max(self._stale_switches_left - 1, 0)
         self._disconnect(now, f"busy: {busy.reason}")
 
     def _connection_lost(self, now: int, why: str) -> None:
-        """Go on to the next source after a random while."""
+        """The followed source is lost: dial the next one after a random delay."""
         self.link = Link.DOWN
         self._count_loss(self.address, why)
         self.dialing.source_lost(now)
@@ -293,7 +302,8 @@
     # ---- messages --------------------------------------------------------------------------
 
     def received(self, attempt: int, now: int, message: Message) -> None:
-        """ProtocolError where a source may not say this; the connection is to be closed then."""
+        """Handle a message. Raises ProtocolError where a source may not send it now; the caller
+        then closes the connection."""
         if attempt != self.attempt or self.link in (Link.DOWN, Link.DIALING):
             return
         self._last_received = now
@@ -309,9 +319,8 @@
             self._on_progress(now, message)
         elif isinstance(message, LookupResult):
             self._on_lookup_result(now, message)
-        elif not isinstance(
-            message, InstancesMoved
-        ):  # that one is read by whoever serves instances
+        # The distributor itself handles InstancesMoved.
+        elif not isinstance(message, InstancesMoved):
             raise ProtocolError(f"{type(message).__name__} is not for a subscriber")
 
     def _on_welcome(self, now: int, welcome: Welcome) -> None:
@@ -333,7 +342,7 @@
             self._start_session(now)
 
     def _start_session(self, now: int) -> None:
-        """Tell a source that knows nothing of us what is in force here, and ask what is open."""
+        """Tell the new source what is in force and what is refused, and repeat the open lookups."""
         self.connections += 1
         self.dialing.welcomed()
         self._unsent_refusals = dict(self._current_refusals)
@@ -358,8 +367,12 @@
             self.actions.append(EpochContinued())
 
     def _send_versions(self, now: int) -> None:
-        """Of what is held. What is subscribed to and not held, since the source knew an older
-        state than we had, is not compared: it is asked for again where it is still wanted."""
+        """Send the versions of all held resources.
+
+        A resource can be subscribed to but not held, because the source knew only an older state
+        than the subscriber had held. It is not compared: its subscription ends, and an open lookup
+        asks for it again.
+        """
         if not self.everything:
             absent = self.subscriptions - self.replica.entries.keys()
             self._unsubscribe(sorted(absent), now)
@@ -369,7 +382,7 @@
             self._send(Versions(chunk, start + MAX_VERSIONS_PER_MESSAGE >= len(rows)), now)
 
     def _on_changes(self, now: int, changes: Changes) -> None:
-        # What was given up may have been on its way.
+        # Changes sent before the source read an unsubscription are ignored.
         wanted = [r for r in changes.resources if self.everything or r.uid in self.subscriptions]
         self._take_resources(wanted, changes.progress, self._completed_lookup(wanted))
         self._unsubscribe_absent(wanted, now)
@@ -379,8 +392,8 @@
     def _take_resources(
         self, resources: Sequence[Resource], progress: int, answered: int = 0
     ) -> None:
-        """Take what is newer than ours, and have it put into force. `answered` is the lookup that
-        found it."""
+        """Store resources that are newer than the held ones and have them put into force.
+        `answered` is the lookup that found them, 0 for none."""
         taken = [r for r in resources if self.replica.apply(r)]
         if self.everything:
             for resource in taken:
@@ -394,8 +407,8 @@
             self.actions.append(Apply(batch.number, uids))
 
     def _completed_lookup(self, resources: Sequence[Resource]) -> int:
-        """The lookup whose answer is complete with these; 0 for none. What has no room in an
-        answer follows it, before the next answer."""
+        """The lookup whose answer these resources complete, or 0. Resources that do not fit into an
+        answer follow it, before the next answer."""
         question, missing = self._partial_lookup
         missing.difference_update(resource.uid for resource in resources)
         if not missing:
@@ -404,8 +417,11 @@
         return 0
 
     def _refuse_unchanged(self, resources: Sequence[Resource]) -> None:
-        """What is refused and has not changed is refused at its new revision too; not where a
-        later state is being put into force, which is what has not changed then."""
+        """A refused resource that is reported unchanged is refused at its new revision as well.
+
+        While a later state is being put into force, "unchanged" refers to that state instead, so
+        the refusal does not carry over.
+        """
         undecided = {uid for batch in self._pending_batches if not batch.done for uid in batch.uids}
         for resource in resources:
             refusal = self._current_refusals.get(resource.uid)
@@ -417,7 +433,7 @@
         self.replica.advance(progress.progress, progress.whole)
         self._pending_batches.append(_Batch(0, progress.progress, done=True))
         if len(self._pending_batches) > 1 and self._pending_batches[-2].number == 0:
-            del self._pending_batches[-2]  # the later heartbeat says all that the earlier one did
+            del self._pending_batches[-2]  # the later heartbeat includes the earlier one
         self._acknowledge_applied(now)
         self._note_publisher_age(now, progress.age_ms)
         if not self.everything:
@@ -428,9 +444,11 @@
         self._publisher_heard_at = max(heard, self._publisher_heard_at or heard)
 
     def _leave_stale_source(self, now: int, age: int) -> None:
-        """Another source may hear the publisher where ours does not: some others are asked, one
-        right after the other. Looked for ever less often, since where the publisher itself is
-        away they are all alike."""
+        """Leave a source that does not hear the publisher, as another one may.
+
+        Some other sources are asked in quick succession. The interval between such searches
+        doubles, because all sources are stale where the publisher itself is unreachable.
+        """
         if age < self.parameters.stale_after_ns:
             self._stale_check_backoff = self.parameters.stale_check_backoff_base_ns
             self._next_stale_check = now
@@ -450,10 +468,10 @@
             self.left_stale += 1
             self._disconnect(now, f"has not heard the publisher for {age // MS} ms")
 
-    # ---- putting into force ----------------------------------------------------------------
+    # ---- applying and acknowledging --------------------------------------------------------
 
     def applied(self, number: int, now: int, refusals: Sequence[Refusal] = ()) -> None:
-        """A batch is in force, but for what is refused."""
+        """A batch is in force, except for the refused resources."""
         for batch in self._pending_batches:
             if batch.number == number:
                 batch.done = True
@@ -462,7 +480,7 @@
         self._acknowledge_applied(now)
 
     def _record_decision(self, batch: _Batch, refusals: Sequence[Refusal]) -> None:
-        """Know what of a batch is refused."""
+        """Record which resources of a batch are refused."""
         for uid in batch.uids:
             self._current_refusals.pop(uid, None)
             self._unsent_refusals.pop(uid, None)
@@ -472,7 +490,7 @@
         for refusal in refusals:
             entry = self.replica.entries.get(refusal.uid)
             if entry is not None and refusal.uid not in decided_later:
-                # Its revision may be a later one by now, or one of another history.
+                # The entry's revision may be later by now, or belong to another history.
                 self._refuse(Refusal(refusal.uid, max(entry.revision, 0), refusal.reason))
             elif not batch.obsolete:
                 self._refuse(refusal)
@@ -482,13 +500,13 @@
         self._unsent_refusals[refusal.uid] = refusal
 
     def _unsubscribe_removed(self, uids: Sequence[str], now: int) -> None:
-        """A removal is in force: its subscription ends with that."""
+        """End the subscriptions to resources whose removal is in force."""
         if not self.everything:
             held = self.replica.entries
             self._unsubscribe([u for u in uids if u not in held and u in self.subscriptions], now)
 
     def _unsubscribe_absent(self, resources: Sequence[Resource], now: int) -> None:
-        """Of a removal that was known there is nothing to put into force."""
+        """End subscriptions to removed resources that were not held: nothing is to be applied."""
         applying = {uid for batch in self._pending_batches for uid in batch.uids}
         removed = [r.uid for r in resources if r.kind is Kind.REMOVED and r.uid not in applying]
         self._unsubscribe_removed(removed, now)
@@ -511,8 +529,11 @@
             self._send(Acknowledge(self._acknowledged, chunk, self._applied_lookup), now)
 
     def _exclude_unapplied(self) -> None:
-        """To the next source what is subscribed to counts as in force up to where we say so. What
-        was found, and is not in force yet, may be older than that: say less until it is."""
+        """Lower the acknowledged revision below everything that is not in force yet.
+
+        The next source takes all subscribed resources as in force up to the acknowledged revision.
+        A resource that a lookup found may have an older revision and still not be in force.
+        """
         if self._pending_batches:
             last = self._pending_batches[-1]
             last.progress = max(last.progress, self._acknowledged)
@@ -525,12 +546,12 @@
         self._acknowledged = min(self._acknowledged, bound)
 
     def _step_back(self, revision: int) -> None:
-        """Something was taken that holds only up to there: neither resume nor say we have more."""
+        """A stored answer is valid up to `revision`: neither resume nor acknowledge beyond it."""
         self.replica.step_back(revision)
         self._acknowledge_at_most(revision)
 
     def _acknowledge_at_most(self, revision: int) -> None:
-        """Of what has been taken so far."""
+        """Limit the acknowledged revision, also of batches that are not in force yet."""
         self._acknowledged = min(self._acknowledged, revision)
         for batch in self._pending_batches:
             batch.progress = min(batch.progress, revision)
@@ -538,8 +559,9 @@
     # ---- lookups ---------------------------------------------------------------------------
 
     def lookup(self, aliases: Sequence[str], now: int) -> int:
-        """Ask whose these are, and hold what is found. An Answer follows under this number; None
-        where no source could say in time, or none that knows as much as we do."""
+        """Look up the owners of aliases and subscribe to them. Returns the number of the Answer
+        that follows; its uids are None where no source with recent enough state answered in
+        time."""
         number = self._next_lookup
         self._next_lookup += 1
         question = _OpenLookup(tuple(aliases), now + self.parameters.lookup_timeout_ns)
@@ -549,7 +571,7 @@
         return number
 
     def unsubscribe(self, uids: Sequence[str], now: int) -> None:
-        """Hold these no longer."""
+        """Drop these resources and end their subscriptions."""
         for uid in uids:
             self.replica.release(uid)
             self._current_refusals.pop(uid, None)
@@ -557,13 +579,13 @@
         self._unsubscribe(uids, now)
 
     def _unsubscribe(self, uids: Sequence[str], now: int) -> None:
-        """What was asked before is answered before the source reads this: such an answer
-        subscribes to nothing any more."""
+        """End subscriptions. The source answers earlier lookups before it reads this, so their
+        answers no longer subscribe to these resources."""
         self.subscriptions.difference_update(uids)
         for uid in uids:
             self._unsubscribed_before[uid] = self._next_serial
             self._unsubscribed_before.move_to_end(uid)
-        if self.link in (Link.GREETING, Link.UP) and uids:  # a hello may have named them
+        if self.link in (Link.GREETING, Link.UP) and uids:  # the hello may have listed them
             self._send(Unsubscribe(list(uids)), now)
 
     def _send_lookup(self, number: int, question: _OpenLookup, now: int) -> None:
@@ -587,7 +609,7 @@
         held = self.replica.entries
         wanted = {uid for uid in found.uids if uid and self._accepts_answer(uid, found.question)}
         older = {u for u in wanted if self.replica.may_have_held_newer(u, found.revision)}
-        if older:  # asked for again, below
+        if older:  # the lookup is repeated below
             wanted -= older
             self._unsubscribe(sorted(older), now)
         self.subscriptions |= wanted
@@ -610,11 +632,11 @@
             del self._open_lookups[number]
             self.actions.append(Answer(number, tuple(found.uids)))
         else:
-            # This source knows an older state than we had: it is told the newer one soon.
+            # The source knows an older state than the subscriber had; it will soon have the newer.
             question.retry_at = now + self.parameters.lookup_retry_delay_ns
 
     def _prune_unsubscribed(self, serial: int) -> None:
-        """Nothing that was asked before this one will be answered any more."""
+        """Drop entries that no open lookup needs: answers arrive in the order of serial numbers."""
         while (
             self._unsubscribed_before and next(iter(self._unsubscribed_before.values())) <= serial
         ):
