--- a/tansywood/distribution/messages.py
+++ b/tansywood/distribution/messages.py
@@ -103,9 +103,10 @@
 
     `position` is the point to resume from: the subscriber's state is complete up to there. `newest`
     is the latest revision that any held resource may have. With `only_fresh`, a source that has not
-    heard the publisher recently has to turn the subscriber away. At revision `whole` the source had
-    nothing left to send. A later `position` omits resources that had changed again by that time, so
-    it is not valid in a history that lacks those later changes; `whole` is.
+    heard the publisher recently has to turn the subscriber away. At `consistent_revision` the
+    source had nothing left to send. A later `position` omits resources that had changed again by
+    that time, so it is not valid in a history that lacks those later changes; the consistent
+    revision is.
     """
 
     name: NodeName
@@ -114,7 +115,7 @@
     subscriptions: Annotated[list[Uid], Meta(max_length=MAX_SUBSCRIPTIONS)] = []
     newest: Count = 0
     only_fresh: bool = False
-    whole: Count = 0
+    consistent_revision: Count = 0
 
 
 class Versions(Struct, array_like=True, frozen=True, tag="v"):
@@ -182,12 +183,12 @@
 
 class Changes(Struct, array_like=True, frozen=True, tag="c"):
     """The latest state of some resources. After this message every resource of the session whose
-    last change is at or before `progress` has been sent. With `whole` nothing else is queued, so
-    the subscriber has the complete state at `progress`."""
+    last change is at or before `progress` has been sent. With `consistent` nothing else is queued,
+    so the subscriber has the complete state at `progress`."""
 
     resources: Annotated[list[Resource], Meta(max_length=4096)]
     progress: Count
-    whole: bool = False
+    consistent: bool = False
 
 
 class Progress(Struct, array_like=True, frozen=True, tag="p"):
@@ -196,7 +197,7 @@
 
     progress: Count
     age_ms: Count = 0
-    whole: bool = False  # as in Changes
+    consistent: bool = False  # as in Changes
 
 
 class LookupResult(Struct, array_like=True, frozen=True, tag="f"):
--- a/tansywood/distribution/source.py
+++ b/tansywood/distribution/source.py
@@ -368,11 +368,11 @@
     def _progress(self, session: Session, now: int) -> Progress:
         """Only heartbeats carry the publisher's age, so they are sent even among other messages."""
         session.last_heartbeat = now
-        whole = not session.comparing and not session.has_unsent
-        if whole:
+        consistent = not session.comparing and not session.has_unsent
+        if consistent:
             session.catching_up = False
             session.progress = self.replica.revision
-        return Progress(session.progress, self._publisher_age_ms(now), whole)
+        return Progress(session.progress, self._publisher_age_ms(now), consistent)
 
     def _next_batch(self, session: Session) -> Changes:
         resources: list[Resource] = []
@@ -464,7 +464,7 @@
         position = hello.position
         if position.epoch == self.replica.epoch:
             return position
-        return Position(position.epoch, min(position.revision, hello.whole))
+        return Position(position.epoch, min(position.revision, hello.consistent_revision))
 
     def _retry_after_ms(self, now: int, wait: int) -> int:
         """Rejected subscribers get successive retry times, spaced at the admission rate."""
@@ -552,8 +552,8 @@
         entry = self.replica.entries.get(uid)
         if entry is not None:
             return entry.revision
-        # The known removal may be an earlier one. At its consistent revision the replica was complete
-        # and did not have this resource.
+        # The known removal may be an earlier one. At its consistent revision the replica was
+        # complete and did not have this resource.
         return max(self.replica.resource(uid).revision, self.replica.consistent_revision)
 
     def _on_versions(self, session: Session, versions: Versions) -> None:
--- a/tansywood/distribution/subscriber.py
+++ b/tansywood/distribution/subscriber.py
@@ -386,7 +386,7 @@
         wanted = [r for r in changes.resources if self.everything or r.uid in self.subscriptions]
         self._take_resources(wanted, changes.progress, self._completed_lookup(wanted))
         self._unsubscribe_absent(wanted, now)
-        self.replica.advance(changes.progress, changes.whole)
+        self.replica.advance(changes.progress, changes.consistent)
         self._acknowledge_applied(now)
 
     def _take_resources(
@@ -430,7 +430,7 @@
                 self._refuse(Refusal(resource.uid, resource.revision, refusal.reason))
 
     def _on_progress(self, now: int, progress: Progress) -> None:
-        self.replica.advance(progress.progress, progress.whole)
+        self.replica.advance(progress.progress, progress.consistent)
         self._pending_batches.append(_Batch(0, progress.progress, done=True))
         if len(self._pending_batches) > 1 and self._pending_batches[-2].number == 0:
             del self._pending_batches[-2]  # the later heartbeat includes the earlier one
--- a/tests/distribution/test_coalescing.py
+++ b/tests/distribution/test_coalescing.py
@@ -1,4 +1,4 @@
-"""A resource that changes again while others wait behind it, and a connection that ends then."""
+"""A queued resource changes again while others are queued, and then the connection ends."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 UIDS = ("first", "again", "last")
 
 
-class Bench:
-    """A source and one subscriber of three resources, whose connection a test ends."""
+class Harness:
+    """A source and one subscriber of three resources, whose connection the test ends."""
 
     def __init__(self, source_type: type[Source], everything: bool) -> None:
         self.now = SECOND
@@ -43,17 +43,17 @@
         self.source.changed(uid, self.revision, self.now)
 
     def connect(self) -> None:
-        """Dial, say hello, be welcomed."""
+        """Dial, send the hello, receive the welcome."""
         while not any(isinstance(action, Dial) for action in self.subscriber.actions):
             self.now += MS
             self.subscriber.tick(self.now)
         self.session = self.source.opened(self.now)
         self.subscriber.connected(self.subscriber.attempt, self.now)
-        self.say()
-        assert self.read()
+        self.perform_actions()
+        assert self.receive_next()
 
-    def say(self) -> None:
-        """Do what the subscriber wants done."""
+    def perform_actions(self) -> None:
+        """Carry out the subscriber's actions."""
         while self.subscriber.actions:
             actions, self.subscriber.actions = self.subscriber.actions, []
             for action in actions:
@@ -62,80 +62,85 @@
                 elif isinstance(action, Apply):
                     self.subscriber.applied(action.batch, self.now)
 
-    def read(self) -> bool:
-        """One message of the source's; False where there is none."""
+    def receive_next(self) -> bool:
+        """Deliver the source's next message. False where there is none."""
         message = self.source.next_message(self.session, self.now)
         if message is None:
             return False
         self.subscriber.received(self.subscriber.attempt, self.now, message)
-        self.say()
+        self.perform_actions()
         return True
 
     def lose_connection(self) -> None:
         self.source.closed(self.session, self.now)
         self.subscriber.disconnected(self.subscriber.attempt, self.now)
 
-    def differing(self) -> set[str]:
-        """What the subscriber has in another state than the source."""
-        ours, theirs = self.subscriber.replica.entries, self.replica.entries
-        bodies = [{uid: entry.body for uid, entry in e.items()} for e in (ours, theirs)]
+    def differing_uids(self) -> set[str]:
+        """Resources whose state at the subscriber differs from the source's."""
+        held_entries, source_entries = self.subscriber.replica.entries, self.replica.entries
+        bodies = [
+            {uid: entry.body for uid, entry in e.items()} for e in (held_entries, source_entries)
+        ]
         return {uid for uid in UIDS if bodies[0].get(uid) != bodies[1].get(uid)}
 
 
-def change_once(bench: Bench) -> None:
-    bench.change("again")
+def change_once(harness: Harness) -> None:
+    harness.change("again")
 
 
-def change_often(bench: Bench) -> None:
+def change_often(harness: Harness) -> None:
     for _ in range(3):
-        bench.change("again")
+        harness.change("again")
 
 
-def delete(bench: Bench) -> None:
-    bench.change("again", Kind.REMOVED)
+def delete(harness: Harness) -> None:
+    harness.change("again", Kind.REMOVED)
 
 
-def delete_and_make_anew(bench: Bench) -> None:
-    bench.change("again", Kind.REMOVED)
-    bench.change("again")
+def delete_and_create_again(harness: Harness) -> None:
+    harness.change("again", Kind.REMOVED)
+    harness.change("again")
 
 
-def differing_after_a_loss(
-    source_type: type[Source], change_again: Callable[[Bench], None], everything: bool, read: int
+def differing_after_reconnect(
+    source_type: type[Source],
+    change_again: Callable[[Harness], None],
+    everything: bool,
+    messages_read: int,
 ) -> set[str]:
-    """All three change, one of them again while all wait; some are read, the connection ends,
-    and all that is sent after the next hello is read."""
-    bench = Bench(source_type, everything)
-    bench.connect()
+    """All three resources change, and one changes again while all are queued. Some messages are
+    received, the connection ends, and everything sent after the next hello is received."""
+    harness = Harness(source_type, everything)
+    harness.connect()
     for uid in UIDS:
-        bench.change(uid)
-    change_again(bench)
-    for _ in range(read):
-        bench.read()
-    bench.lose_connection()
-    bench.connect()
-    while bench.read():
+        harness.change(uid)
+    change_again(harness)
+    for _ in range(messages_read):
+        harness.receive_next()
+    harness.lose_connection()
+    harness.connect()
+    while harness.receive_next():
         pass
-    return bench.differing()
+    return harness.differing_uids()
 
 
 VARIANTS = pytest.mark.parametrize(
-    "change_again", [change_once, change_often, delete, delete_and_make_anew]
+    "change_again", [change_once, change_often, delete, delete_and_create_again]
 )
 
 
 @pytest.mark.parametrize("everything", [False, True])
-@pytest.mark.parametrize("read", [0, 1, 2, 3])
+@pytest.mark.parametrize("messages_read", [0, 1, 2, 3])
 @VARIANTS
-def test_nothing_is_lost_wherever_the_connection_ends(
-    change_again: Callable[[Bench], None], read: int, everything: bool
+def test_no_change_is_lost_wherever_the_connection_ends(
+    change_again: Callable[[Harness], None], messages_read: int, everything: bool
 ) -> None:
-    assert not differing_after_a_loss(Source, change_again, everything, read)
+    assert not differing_after_reconnect(Source, change_again, everything, messages_read)
 
 
 @pytest.mark.parametrize("everything", [False, True])
 @VARIANTS
-def test_with_the_old_place_kept_what_waits_behind_is_lost(
-    change_again: Callable[[Bench], None], everything: bool
+def test_without_moving_a_changed_resource_to_the_end_a_later_change_is_lost(
+    change_again: Callable[[Harness], None], everything: bool
 ) -> None:
-    assert differing_after_a_loss(OldPlaceSource, change_again, everything, 1) == {"last"}
+    assert differing_after_reconnect(OldPlaceSource, change_again, everything, 1) == {"last"}
--- a/tests/distribution/test_cut_off.py
+++ b/tests/distribution/test_cut_off.py
@@ -1,4 +1,4 @@
-"""Sources that are cut off, in simulated time: how long a change takes then."""
+"""How long a change takes where sources are cut off, in simulated time."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from tansywood.distribution.parameters import MS, SECOND, Parameters
 from tests.distribution.simulation import Condition, SimulatedSource, Simulation
 
-IN_FORCE = 4 * SECOND  # from a change until it is in force everywhere
+IN_FORCE_LIMIT_NS = 4 * SECOND  # from a change until it is in force everywhere
 PARAMETERS = Parameters()
-SOURCES = 15
-SUBSCRIBERS = 1_000
-REGION = 4  # sources of one region
+SOURCE_COUNT = 15
+SUBSCRIBER_COUNT = 1_000
+REGION_SOURCE_COUNT = 4  # sources of one region
 
 
-def in_force_with(
-    conditions: dict[Condition, int], committed_after: int = 0, subscribers: int = SUBSCRIBERS
+def time_in_force_with(
+    conditions: dict[Condition, int], committed_after: int = 0, subscribers: int = SUBSCRIBER_COUNT
 ) -> int:
-    """Time until a change is in force at all subscribers, where so many sources come into each
-    condition `committed_after` before it; more than 8 s where it is not within that."""
-    simulation = Simulation(SOURCES, PARAMETERS)
+    """Time until a change is in force at all subscribers. `conditions` says how many sources change
+    to each condition, `committed_after` before the change. Above 8 s where it takes longer."""
+    simulation = Simulation(SOURCE_COUNT, PARAMETERS)
     simulation.add_subscribers(subscribers)
     simulation.connect_all(3 * SECOND)
-    waiting: list[SimulatedSource] = list(simulation.sources.values())
+    running: list[SimulatedSource] = list(simulation.sources.values())
     for condition, number in conditions.items():
         for _ in range(number):
-            waiting.pop().set_condition(condition)
+            running.pop().set_condition(condition)
     simulation.run(committed_after)
     committed = simulation.now
     simulation.commit()
@@ -35,34 +35,40 @@
     return max(simulation.records.applied.values()) - committed
 
 
-@pytest.mark.parametrize("cut_off", [1, 2, 3, REGION, 6])
-def test_a_change_is_in_force_within_4_s_where_sources_are_cut_off_at_that_moment(
-    cut_off: int,
+@pytest.mark.parametrize("silent_sources", [1, 2, 3, REGION_SOURCE_COUNT, 6])
+def test_a_change_is_in_force_within_4_s_although_sources_go_silent(
+    silent_sources: int,
 ) -> None:
-    assert in_force_with({Condition.SILENT: cut_off}) <= IN_FORCE
+    assert time_in_force_with({Condition.SILENT: silent_sources}) <= IN_FORCE_LIMIT_NS
 
 
-@pytest.mark.parametrize("deaf", [1, 2, 3, REGION])
+@pytest.mark.parametrize("unreachable_sources", [1, 2, 3, REGION_SOURCE_COUNT])
 @pytest.mark.parametrize("committed_after", [0, 1_100 * MS, 2_300 * MS])
-def test_a_change_is_in_force_within_4_s_where_sources_don_t_hear_the_publisher(
-    deaf: int, committed_after: int
+def test_a_change_is_in_force_within_4_s_although_sources_lose_the_publisher(
+    unreachable_sources: int, committed_after: int
 ) -> None:
-    assert in_force_with({Condition.PUBLISHER_UNREACHABLE: deaf}, committed_after) <= IN_FORCE
+    assert (
+        time_in_force_with({Condition.PUBLISHER_UNREACHABLE: unreachable_sources}, committed_after)
+        <= IN_FORCE_LIMIT_NS
+    )
 
 
-def test_a_change_is_in_force_within_4_s_where_some_are_cut_off_and_others_hear_nothing() -> None:
-    assert in_force_with({Condition.SILENT: 2, Condition.PUBLISHER_UNREACHABLE: 2}) <= IN_FORCE
+def test_a_change_is_in_force_within_4_s_with_silent_and_stale_sources() -> None:
+    assert (
+        time_in_force_with({Condition.SILENT: 2, Condition.PUBLISHER_UNREACHABLE: 2})
+        <= IN_FORCE_LIMIT_NS
+    )
 
 
-def in_force_after_the_publisher_was_away(away: int) -> int:
-    """Time until a change is in force everywhere that the publisher makes as it comes back; 240
-    subscribers for each of three sources, which none of them hears meanwhile."""
+def time_in_force_after_an_outage(outage_ns: int) -> int:
+    """Time until a change is in force everywhere that the publisher makes at the end of an outage.
+    Three sources with 240 subscribers each do not hear the publisher during the outage."""
     simulation = Simulation(3, PARAMETERS)
     simulation.add_subscribers(720)
     simulation.connect_all(4 * SECOND)
     for source in simulation.sources.values():
         source.set_condition(Condition.PUBLISHER_UNREACHABLE)
-    simulation.run(away)
+    simulation.run(outage_ns)
     for source in simulation.sources.values():
         source.set_condition(Condition.RUNS)
     committed = simulation.now
@@ -72,13 +78,13 @@
     return max(simulation.records.applied.values()) - committed
 
 
-@pytest.mark.parametrize("away", [1_900 * MS, 2_300 * MS, 2_700 * MS, 3_500 * MS])
-def test_a_change_is_in_force_within_4_s_after_the_publisher_was_away(away: int) -> None:
-    assert in_force_after_the_publisher_was_away(away) <= IN_FORCE
+@pytest.mark.parametrize("outage_ns", [1_900 * MS, 2_300 * MS, 2_700 * MS, 3_500 * MS])
+def test_a_change_is_in_force_within_4_s_after_a_publisher_outage(outage_ns: int) -> None:
+    assert time_in_force_after_an_outage(outage_ns) <= IN_FORCE_LIMIT_NS
 
 
-def test_a_long_loss_costs_few_dials_and_its_end_no_crowd() -> None:
-    simulation = Simulation(SOURCES, PARAMETERS)
+def test_a_long_outage_costs_few_dials_and_ends_without_a_reconnect_storm() -> None:
+    simulation = Simulation(SOURCE_COUNT, PARAMETERS)
     simulation.add_subscribers(300)
     simulation.connect_all(2 * SECOND)
     simulation.records.dials.clear()
@@ -86,11 +92,11 @@
         source.set_condition(Condition.SILENT)
     simulation.run(20 * SECOND)
     dials = len(simulation.records.dials) / 300
-    assert dials <= SOURCES + 20 * SECOND / PARAMETERS.dial_timeout_ns
+    assert dials <= SOURCE_COUNT + 20 * SECOND / PARAMETERS.dial_timeout_ns
     for source in simulation.sources.values():
         source.set_condition(Condition.RUNS)
     committed = simulation.now
     simulation.commit()
-    simulation.run(IN_FORCE)
+    simulation.run(IN_FORCE_LIMIT_NS)
     assert len(simulation.records.applied) == 300
-    assert max(simulation.records.applied.values()) - committed <= IN_FORCE
+    assert max(simulation.records.applied.values()) - committed <= IN_FORCE_LIMIT_NS
--- a/tests/distribution/test_flood.py
+++ b/tests/distribution/test_flood.py
@@ -1,4 +1,4 @@
-"""A flood of invented hosts in simulated time: what it may cost, and each bound taken out."""
+"""A flood of unknown hosts in simulated time: its bounded cost, also with each bound disabled."""
 
 from __future__ import annotations
 
@@ -13,108 +13,118 @@
 from tests.distribution.simulation import max_in_window
 
 PARAMETERS = Parameters(max_unknown_aliases=1_000)
-BOUND = 500  # tenants held at most
+MAX_TENANTS = 500  # that the instance holds
 NO_BOUND = 1 << 40
-FLOOD = 10 * SECOND
-BETWEEN = 100_000  # nanoseconds from one invented host to the next: 10,000 a second
-DOOR = "door"
-HELD = "h:known.example"
-ANSWERED_AFTER = 5 * MS
-NEVER_ANSWERED = PARAMETERS.lookup_timeout_ns  # control is away: each question lapses
+FLOOD_DURATION_NS = 10 * SECOND
+REQUEST_INTERVAL_NS = 100_000  # between unknown hosts: 10,000 per second
+ASKER = "door"
+HELD_ALIAS = "h:known.example"
+ANSWER_DELAY_NS = 5 * MS
+NO_ANSWER_DELAY_NS = PARAMETERS.lookup_timeout_ns  # no source is reachable: each lookup times out
 
 
-class AsksForAll(Interest):
-    """Looks up what it holds as well."""
+class LooksUpHeldTenants(Interest):
+    """Looks up tenants that it already holds."""
 
-    def _settled(self, alias: str, now: int) -> bool:
+    def _is_known(self, alias: str, now: int) -> bool:
         return False
 
 
 class Flood:
-    """10 s of invented hosts, with a request for a held one after every ten."""
+    """10 s of requests for unknown hosts, and one for a held host after every ten."""
 
     def __init__(
-        self, parameters: Parameters, after: int, interest_type: type[Interest] = Interest
+        self, parameters: Parameters, answer_delay: int, interest_type: type[Interest] = Interest
     ) -> None:
         self.parameters = parameters
-        self.after = after  # until a lookup is answered
-        self.interest = interest_type(parameters, 0, BOUND, 600 * SECOND)
-        self.interest.hold("known", [HELD], 0)
-        self.most: Counter[str] = Counter()
-        self.lookups: list[int] = []  # times
-        self.states: Counter[State | None] = Counter()  # of the held host's requests
+        self.answer_delay = answer_delay  # time until a lookup is answered
+        self.interest = interest_type(parameters, 0, MAX_TENANTS, 600 * SECOND)
+        self.interest.hold("known", [HELD_ALIAS], 0)
+        self.maxima: Counter[str] = Counter()
+        self.lookup_times: list[int] = []  # when each lookup was sent
+        self.states: Counter[State | None] = Counter()  # of the requests for the held host
         self._answers: list[tuple[int, str]] = []
-        self._asked = 0
+        self._request_count = 0
 
     def run(self) -> None:
-        for number in range(FLOOD // BETWEEN):
-            now = number * BETWEEN
+        for number in range(FLOOD_DURATION_NS // REQUEST_INTERVAL_NS):
+            now = number * REQUEST_INTERVAL_NS
             self._answer(now)
             self._ask(f"h:invented-{number}.example", now)
             if number % 10 == 0:
-                self.states[self._ask(HELD, now)] += 1
-            self._measure()
-        self._answer(FLOOD + self.after)
+                self.states[self._ask(HELD_ALIAS, now)] += 1
+            self._record_maxima()
+        self._answer(FLOOD_DURATION_NS + self.answer_delay)
 
     def _ask(self, alias: str, now: int) -> State | None:
-        self._asked += 1
-        asked = self.interest.resolve((DOOR, self._asked), [alias], now)
-        for opened in asked.aliases_to_look_up:
-            self.lookups.append(now)
-            heapq.heappush(self._answers, (now + self.after, opened))
+        self._request_count += 1
+        asked = self.interest.resolve((ASKER, self._request_count), [alias], now)
+        for alias_to_look_up in asked.aliases_to_look_up:
+            self.lookup_times.append(now)
+            heapq.heappush(self._answers, (now + self.answer_delay, alias_to_look_up))
         return asked.state
 
     def _answer(self, now: int) -> None:
         while self._answers and self._answers[0][0] <= now:
             _, alias = heapq.heappop(self._answers)
-            nobodys = [""] if self.after < self.parameters.lookup_timeout_ns else None
-            self.interest.complete_lookup([alias], nobodys, now)
-
-    def _measure(self) -> None:
-        one = self.interest
-        self.most["unknown answers"] = max(self.most["unknown answers"], one.cached_unknown_count)
-        self.most["open questions"] = max(self.most["open questions"], one.open_lookups)
-        self.most["requests that wait"] = max(self.most["requests that wait"], one.waiting_requests)
-
-
-def broken_bounds(flood: Flood) -> set[str]:
-    """Which of the bounds of the shipped terms did not hold."""
+            owners = [""] if self.answer_delay < self.parameters.lookup_timeout_ns else None
+            self.interest.complete_lookup([alias], owners, now)
+
+    def _record_maxima(self) -> None:
+        interest = self.interest
+        self.maxima["cached unknown aliases"] = max(
+            self.maxima["cached unknown aliases"], interest.cached_unknown_count
+        )
+        self.maxima["open lookups"] = max(self.maxima["open lookups"], interest.open_lookups)
+        self.maxima["waiting requests"] = max(
+            self.maxima["waiting requests"], interest.waiting_requests
+        )
+
+
+def violated_bounds(flood: Flood) -> set[str]:
+    """The bounds of the shipped parameters that did not hold."""
     flood.run()
     bounds = {
-        "unknown answers": PARAMETERS.max_unknown_aliases,
-        "open questions": PARAMETERS.max_open_lookups,
-        "requests that wait": PARAMETERS.max_open_lookups,
+        "cached unknown aliases": PARAMETERS.max_unknown_aliases,
+        "open lookups": PARAMETERS.max_open_lookups,
+        "waiting requests": PARAMETERS.max_open_lookups,
     }
-    broken = {what for what, bound in bounds.items() if flood.most[what] > bound}
-    if max_in_window(flood.lookups, SECOND) > 1.5 * PARAMETERS.lookups_per_s:
-        broken.add("lookups a second")
+    violations = {what for what, bound in bounds.items() if flood.maxima[what] > bound}
+    if max_in_window(flood.lookup_times, SECOND) > 1.5 * PARAMETERS.lookups_per_s:
+        violations.add("lookup rate")
     if set(flood.states) != {State.DONE}:
-        broken.add("known hosts are answered")
+        violations.add("held hosts not answered")
     if flood.interest.waiting_requests or flood.interest.open_lookups:
-        broken.add("all questions end")
-    return broken
+        violations.add("lookups without end")
+    return violations
 
 
-@pytest.mark.parametrize("after", [ANSWERED_AFTER, NEVER_ANSWERED])
-def test_invented_hosts_cost_a_bounded_number_of_questions_and_answers(after: int) -> None:
-    flood = Flood(PARAMETERS, after)
-    assert not broken_bounds(flood)
-    assert flood.states[State.DONE] == FLOOD // BETWEEN // 10
+@pytest.mark.parametrize("answer_delay", [ANSWER_DELAY_NS, NO_ANSWER_DELAY_NS])
+def test_a_flood_of_unknown_hosts_causes_bounded_lookups_and_memory(answer_delay: int) -> None:
+    flood = Flood(PARAMETERS, answer_delay)
+    assert not violated_bounds(flood)
+    assert flood.states[State.DONE] == FLOOD_DURATION_NS // REQUEST_INTERVAL_NS // 10
 
 
 @pytest.mark.parametrize(
-    ("parameters", "after", "found"),
+    ("parameters", "answer_delay", "violated"),
     [
-        (replace(PARAMETERS, max_unknown_aliases=NO_BOUND), ANSWERED_AFTER, "unknown answers"),
-        (replace(PARAMETERS, max_open_lookups=NO_BOUND), NEVER_ANSWERED, "open questions"),
-        (replace(PARAMETERS, lookups_per_s=1e9), ANSWERED_AFTER, "lookups a second"),
+        (
+            replace(PARAMETERS, max_unknown_aliases=NO_BOUND),
+            ANSWER_DELAY_NS,
+            "cached unknown aliases",
+        ),
+        (replace(PARAMETERS, max_open_lookups=NO_BOUND), NO_ANSWER_DELAY_NS, "open lookups"),
+        (replace(PARAMETERS, lookups_per_s=1e9), ANSWER_DELAY_NS, "lookup rate"),
     ],
-    ids=["unknown answers", "open questions", "rate"],
+    ids=["cached unknown aliases", "open lookups", "lookup rate"],
 )
-def test_a_bound_that_is_taken_out_is_found(parameters: Parameters, after: int, found: str) -> None:
-    assert found in broken_bounds(Flood(parameters, after))
+def test_a_disabled_bound_is_detected(
+    parameters: Parameters, answer_delay: int, violated: str
+) -> None:
+    assert violated in violated_bounds(Flood(parameters, answer_delay))
 
 
-def test_an_instance_that_asks_for_what_it_holds_is_found() -> None:
-    flood = Flood(PARAMETERS, NEVER_ANSWERED, AsksForAll)
-    assert "known hosts are answered" in broken_bounds(flood)
+def test_an_instance_that_looks_up_held_tenants_is_detected() -> None:
+    flood = Flood(PARAMETERS, NO_ANSWER_DELAY_NS, LooksUpHeldTenants)
+    assert "held hosts not answered" in violated_bounds(flood)
--- a/tests/distribution/test_reconnects.py
+++ b/tests/distribution/test_reconnects.py
@@ -1,4 +1,4 @@
-"""Reconnects in simulated time: silent sources, jitter, admission, and the defences taken out."""
+"""Reconnects in simulated time: silent sources, jitter, admission, each also with it disabled."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from tansywood.distribution.subscriber import Subscriber
 from tests.distribution.simulation import Condition, Simulation, max_in_window
 
-IN_FORCE = 4 * SECOND  # from a change until it is in force everywhere
+IN_FORCE_LIMIT_NS = 4 * SECOND  # from a change until it is in force everywhere
 PARAMETERS = Parameters()
 
 
-def in_force_after_a_silent_source(parameters: Parameters) -> int:
-    """Time until a change is in force at all subscribers, where a source goes silent as it comes,
-    with nothing closed; more than IN_FORCE where that is not within it."""
+def time_in_force_with_a_silent_source(parameters: Parameters) -> int:
+    """Time until a change is in force at all subscribers, where a source goes silent at the moment
+    of the change without closing connections; above IN_FORCE_LIMIT_NS where it takes longer."""
     simulation = Simulation(5, parameters)
     simulation.add_subscribers(60)
     simulation.connect_all(SECOND)
@@ -29,24 +29,24 @@
     assert len(silent.connections) > 5
     silent.set_condition(Condition.SILENT)
     simulation.commit()
-    simulation.run(IN_FORCE + 1)
+    simulation.run(IN_FORCE_LIMIT_NS + 1)
     if len(simulation.records.applied) < len(simulation.subscribers):
-        return IN_FORCE + 1
+        return IN_FORCE_LIMIT_NS + 1
     return max(simulation.records.applied.values()) - committed
 
 
-def test_a_change_is_in_force_within_4_s_where_a_source_goes_silent_at_that_moment() -> None:
-    assert in_force_after_a_silent_source(PARAMETERS) <= IN_FORCE
+def test_a_change_is_in_force_within_4_s_although_a_source_goes_silent() -> None:
+    assert time_in_force_with_a_silent_source(PARAMETERS) <= IN_FORCE_LIMIT_NS
 
 
-def test_without_the_bound_on_silence_it_is_not() -> None:
+def test_without_the_silence_time_out_a_change_takes_longer_than_4_s() -> None:
     assert (
-        in_force_after_a_silent_source(replace(PARAMETERS, silence_timeout_ns=60 * SECOND))
-        > IN_FORCE
+        time_in_force_with_a_silent_source(replace(PARAMETERS, silence_timeout_ns=60 * SECOND))
+        > IN_FORCE_LIMIT_NS
     )
 
 
-def losses_in_a_quiet_minute(parameters: Parameters) -> int:
+def losses_in_an_idle_minute(parameters: Parameters) -> int:
     simulation = Simulation(2, parameters)
     simulation.add_subscribers(10)
     simulation.start()
@@ -54,16 +54,16 @@
     return sum(subscriber.core.losses for subscriber in simulation.subscribers)
 
 
-def test_heartbeats_keep_quiet_connections() -> None:
-    assert losses_in_a_quiet_minute(PARAMETERS) == 0
+def test_heartbeats_keep_idle_connections_open() -> None:
+    assert losses_in_an_idle_minute(PARAMETERS) == 0
 
 
-def test_without_heartbeats_quiet_connections_are_lost() -> None:
-    assert losses_in_a_quiet_minute(replace(PARAMETERS, heartbeat_interval_ns=60 * SECOND)) > 0
+def test_without_heartbeats_idle_connections_are_lost() -> None:
+    assert losses_in_an_idle_minute(replace(PARAMETERS, heartbeat_interval_ns=60 * SECOND)) > 0
 
 
-class QuietSource(Source):
-    """Says no heartbeats; it hears those of others."""
+class NoHeartbeatSource(Source):
+    """Sends no heartbeats, but receives those of the other side."""
 
     def tick(self, now: int) -> list[int]:
         for session in self.sessions.values():
@@ -71,8 +71,8 @@
         return super().tick(now)
 
 
-class QuietSubscriber(Subscriber):
-    """Says no heartbeats; it hears those of others."""
+class NoHeartbeatSubscriber(Subscriber):
+    """Sends no heartbeats, but receives those of the other side."""
 
     def tick(self, now: int) -> None:
         self._last_sent = now
@@ -80,9 +80,10 @@
 
 
 @pytest.mark.parametrize(
-    ("source_type", "subscriber_type"), [(QuietSource, Subscriber), (Source, QuietSubscriber)]
+    ("source_type", "subscriber_type"),
+    [(NoHeartbeatSource, Subscriber), (Source, NoHeartbeatSubscriber)],
 )
-def test_heartbeats_of_one_side_alone_don_t_keep_a_connection(
+def test_heartbeats_of_one_side_alone_do_not_keep_a_connection(
     source_type: type[Source], subscriber_type: type[Subscriber]
 ) -> None:
     simulation = Simulation(2, PARAMETERS, source_type)
@@ -92,8 +93,8 @@
     assert sum(subscriber.core.losses for subscriber in simulation.subscribers) >= 3
 
 
-def sessions_after_silence(parameters: Parameters) -> int:
-    """How many sessions of instances that went silent a source still has after 2 s."""
+def silent_sessions_left(parameters: Parameters) -> int:
+    """How many sessions of silent instances a source still has 2 s after they went silent."""
     simulation = Simulation(1, parameters)
     silent = simulation.add_subscribers(20)[:8]
     simulation.connect_all(0)
@@ -105,33 +106,33 @@
     return len(source.core.sessions) - 12
 
 
-def test_instances_that_go_silent_are_left_by_their_source() -> None:
-    assert sessions_after_silence(PARAMETERS) == 0
+def test_a_source_closes_the_sessions_of_silent_instances() -> None:
+    assert silent_sessions_left(PARAMETERS) == 0
 
 
-def test_without_the_bound_on_silence_they_stay() -> None:
-    assert sessions_after_silence(replace(PARAMETERS, silence_timeout_ns=60 * SECOND)) == 8
+def test_without_the_silence_time_out_the_sessions_of_silent_instances_stay() -> None:
+    assert silent_sessions_left(replace(PARAMETERS, silence_timeout_ns=60 * SECOND)) == 8
 
 
 # ---- full jitter -----------------------------------------------------------------------------
 
-LOST = 240  # subscribers of one source
-FIRST_DIALS_MOST = 48  # of these within 10 ms: twice their mean
-LATER_DIALS_MOST = 200  # of these within 100 ms, while no source can be had
+LOST_SUBSCRIBER_COUNT = 240  # subscribers that lose their source at the same moment
+MAX_FIRST_DIALS = 48  # first dials within 10 ms: twice the mean
+MAX_LATER_DIALS = 200  # later dials within 100 ms, while no source is reachable
 
 
 class NoJitter(Random):
-    """Waits the whole of each bound."""
+    """Always returns the largest value, so that each delay is its bound."""
 
     def randrange(self, start: int, stop: int | None = None, step: int = 1) -> int:
         return start - 1
 
 
 def dials_after_a_loss(random: Random | None = None) -> tuple[int, int]:
-    """The most first dials within 10 ms, and the most later ones within 100 ms, of subscribers
-    that lose their source at the same moment while no other can be had for 5 s."""
+    """The maximum of first dials within 10 ms and of later dials within 100 ms, for subscribers
+    that lose their source at the same moment while no other is reachable for 5 s."""
     simulation = Simulation(15)
-    simulation.add_subscribers(LOST)
+    simulation.add_subscribers(LOST_SUBSCRIBER_COUNT)
     followed, *others = simulation.sources.values()
     for source in others:
         source.set_condition(Condition.DEAD)
@@ -147,28 +148,28 @@
         for dial in simulation.records.dials
         if first.setdefault(dial.name, dial.at) != dial.at
     ]
-    assert len(first) == LOST and len(later) > 5 * LOST
+    assert len(first) == LOST_SUBSCRIBER_COUNT and len(later) > 5 * LOST_SUBSCRIBER_COUNT
     return max_in_window(list(first.values()), 10 * MS), max_in_window(later, 100 * MS)
 
 
-def test_subscribers_of_a_lost_source_dial_spread_over_time() -> None:
+def test_dials_after_a_loss_are_spread_over_time() -> None:
     first, later = dials_after_a_loss()
-    assert first <= FIRST_DIALS_MOST and later <= LATER_DIALS_MOST
+    assert first <= MAX_FIRST_DIALS and later <= MAX_LATER_DIALS
 
 
-def test_without_jitter_they_dial_all_at_once() -> None:
+def test_without_jitter_all_subscribers_dial_at_once() -> None:
     first, later = dials_after_a_loss(NoJitter())
-    assert first == LOST and later == LOST
+    assert first == LOST_SUBSCRIBER_COUNT and later == LOST_SUBSCRIBER_COUNT
 
 
 # ---- admission -------------------------------------------------------------------------------
 
-ZONE = 330  # instances that come back at once
-ALONE = 5_500 * MS  # until all of a zone and of a dead source are in at one source alone
+ZONE_INSTANCE_COUNT = 330  # instances of a zone that reconnect at once
+SINGLE_SOURCE_LIMIT_NS = 5_500 * MS  # to admit a zone and a dead source's subscribers at one source
 
 
-class AdmittingSource(Source):
-    """Admits whoever comes, whenever."""
+class UnlimitedAdmissionSource(Source):
+    """Admits every subscriber at once."""
 
     def __init__(
         self, replica: Replica, parameters: Parameters, now: int, is_publisher: bool
@@ -176,8 +177,8 @@
         super().__init__(replica, replace(parameters, admission_burst=100_000), now, is_publisher)
 
 
-class ImpatientSubscriber(Subscriber):
-    """Takes no notice of when it is to come back."""
+class IgnoresRetryTimeSubscriber(Subscriber):
+    """Ignores the retry time of a Busy message."""
 
     def received(self, attempt: int, now: int, message: Message) -> None:
         if isinstance(message, Busy):
@@ -185,66 +186,78 @@
         super().received(attempt, now, message)
 
 
-def crowd(
+def simulate_mass_reconnect(
     sources: int,
     source_type: type[Source] = Source,
     subscriber_type: type[Subscriber] = Subscriber,
 ) -> Simulation:
-    """A zone comes back at the moment at which a source dies; both know `sources` others."""
+    """A zone reconnects at the moment when a source dies; `sources` sources are left for both."""
     simulation = Simulation(sources, PARAMETERS, source_type)
-    simulation.add_subscribers(ZONE + LOST, subscriber_type=subscriber_type)
+    simulation.add_subscribers(
+        ZONE_INSTANCE_COUNT + LOST_SUBSCRIBER_COUNT, subscriber_type=subscriber_type
+    )
     simulation.start(PARAMETERS.reconnect_backoff_base_ns)
-    simulation.run(ALONE)
+    simulation.run(SINGLE_SOURCE_LIMIT_NS)
     return simulation
 
 
-def broken_rules(simulation: Simulation, within: int) -> set[str]:
-    """What does not hold of: a source takes no more than its bound, who was turned away comes
-    again not before the time that it was told and soon after it, all are in by then, and few
-    hellos are needed for that."""
+def violated_rules(simulation: Simulation, limit: int) -> set[str]:
+    """The violated rules. A source admits no more than its bound; a rejected subscriber retries not
+    before its retry time, and soon after it; all are admitted within `limit` with few hellos."""
     records = simulation.records
-    broken = set()
+    violations = set()
     for address in simulation.sources:
         admitted = [w.at for w in records.welcomes if w.address == address]
         for window in (100 * MS, SECOND, 3 * SECOND):
             bound = PARAMETERS.admission_burst + PARAMETERS.admissions_per_s * window / SECOND
             if max_in_window(admitted, window) > bound + 1:
-                broken.add("admits more than its bound")
+                violations.add("exceeds the admission bound")
     for refusal in records.refusals:
-        told = refusal.at + refusal.retry_after
+        retry_at = refusal.at + refusal.retry_after
         same = (refusal.name, refusal.address)
-        again = [h.at for h in records.hellos if (h.name, h.address) == same and h.at > refusal.at]
-        if again and min(again) < told:
-            broken.add("comes before its time")
-        soon = told + PARAMETERS.reconnect_backoff_base_ns + 20 * MS
-        if len(simulation.sources) == 1 and (not again or min(again) > soon):
-            broken.add("does not come at its time")
-    if len({w.name for w in records.welcomes}) < ZONE + LOST:
-        broken.add("not all are in")
-    if max(w.at for w in records.welcomes) - SECOND > within:
-        broken.add("in too late")
-    if len(records.hellos) > 3 * (ZONE + LOST):
-        broken.add("too many hellos")
-    return broken
-
-
-def test_a_zone_and_a_dead_sources_instances_are_let_in_one_after_the_other() -> None:
-    simulation = crowd(1)
-    assert not broken_rules(simulation, ALONE)
-    assert len(simulation.records.refusals) >= ZONE + LOST - 2 * PARAMETERS.admission_burst
+        retried_at = [
+            h.at for h in records.hellos if (h.name, h.address) == same and h.at > refusal.at
+        ]
+        if retried_at and min(retried_at) < retry_at:
+            violations.add("retries too early")
+        latest_retry_at = retry_at + PARAMETERS.reconnect_backoff_base_ns + 20 * MS
+        if len(simulation.sources) == 1 and (not retried_at or min(retried_at) > latest_retry_at):
+            violations.add("retries too late")
+    if len({w.name for w in records.welcomes}) < ZONE_INSTANCE_COUNT + LOST_SUBSCRIBER_COUNT:
+        violations.add("not all are admitted")
+    if max(w.at for w in records.welcomes) - SECOND > limit:
+        violations.add("admitted too late")
+    if len(records.hellos) > 3 * (ZONE_INSTANCE_COUNT + LOST_SUBSCRIBER_COUNT):
+        violations.add("too many hellos")
+    return violations
+
+
+def test_a_mass_reconnect_to_one_source_is_admitted_at_the_admission_rate() -> None:
+    simulation = simulate_mass_reconnect(1)
+    assert not violated_rules(simulation, SINGLE_SOURCE_LIMIT_NS)
+    assert (
+        len(simulation.records.refusals)
+        >= ZONE_INSTANCE_COUNT + LOST_SUBSCRIBER_COUNT - 2 * PARAMETERS.admission_burst
+    )
 
 
-def test_where_others_are_left_they_are_all_in_within_4_s() -> None:
-    assert not broken_rules(crowd(3), IN_FORCE)
+def test_a_mass_reconnect_to_three_sources_completes_within_4_s() -> None:
+    assert not violated_rules(simulate_mass_reconnect(3), IN_FORCE_LIMIT_NS)
 
 
 @pytest.mark.parametrize("sources", [1, 3])
-def test_without_admission_a_source_takes_more_than_its_bound(sources: int) -> None:
-    broken = broken_rules(crowd(sources, source_type=AdmittingSource), ALONE)
-    assert "admits more than its bound" in broken
+def test_without_admission_control_a_source_exceeds_its_admission_bound(sources: int) -> None:
+    violations = violated_rules(
+        simulate_mass_reconnect(sources, source_type=UnlimitedAdmissionSource),
+        SINGLE_SOURCE_LIMIT_NS,
+    )
+    assert "exceeds the admission bound" in violations
 
 
 @pytest.mark.parametrize("sources", [1, 3])
-def test_those_who_don_t_heed_the_time_to_come_back_are_found(sources: int) -> None:
-    broken = broken_rules(crowd(sources, subscriber_type=ImpatientSubscriber), ALONE)
-    assert {"comes before its time", "too many hellos"} <= broken
+def test_subscribers_that_ignore_their_retry_time_are_detected(sources: int) -> None:
+    violations = violated_rules(
+        simulate_mass_reconnect(sources, subscriber_type=IgnoresRetryTimeSubscriber),
+        SINGLE_SOURCE_LIMIT_NS,
+    )
+    assert {"retries too early", "too many hellos"} <= violations
--- a/tests/distribution/test_sealing.py
+++ b/tests/distribution/test_sealing.py
@@ -1,8 +1,8 @@
-"""What a stream refuses, at either end, without sockets; and each check taken out.
+"""Refusals of a stream at either end, without sockets, and with each check disabled.
 
-Two streams in one process, joined by transports that keep what is written. An attack makes what
-the receiving end reads. It has to be refused: nothing is taken, the connection ends, one is counted
-under its reason, and the reason is told to whoever logs or shows it.
+Two streams in one process are joined by transports that buffer what is written. An attack makes the
+bytes that the receiving end reads. The receiving end has to refuse them: it delivers no message,
+closes the connection, counts one refusal under its reason, and reports the reason to its owner.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 
 KEY, OTHER_KEY = bytes(range(32)), bytes(32)
 FLEET, OTHER_FLEET = "fleet", "another"
-SAID = Acknowledge(7)
+MESSAGE = Acknowledge(7)
 PEER = ("10.1.2.3", 4567)
 
 
-class KeptTransport:
-    """Keeps what is written; closing it is told to its stream."""
+class BufferingTransport:
+    """Buffers what is written, and reports its closing to the stream."""
 
     def __init__(self, stream: SealedStream) -> None:
         self.stream = stream
@@ -39,7 +39,7 @@
     def write(self, data: bytes) -> None:
         self.written += data
 
-    def take(self) -> bytes:
+    def take_written(self) -> bytes:
         data = bytes(self.written)
         self.written.clear()
         return data
@@ -48,7 +48,7 @@
         return PEER if name == "peername" else None
 
     def set_write_buffer_limits(self, high: int) -> None:
-        """Nothing waits here."""
+        """This transport has no limit."""
 
     def abort(self) -> None:
         if not self.closed:
@@ -58,174 +58,179 @@
     close = abort
 
 
-class End:
-    """One end of a connection, and what its stream told."""
+class StreamEnd:
+    """One end of a connection, with the events that its stream reported."""
 
     def __init__(self, connector: bool, key: bytes = KEY, fleet: str = FLEET) -> None:
-        self.taken: list[Message] = []
-        self.why = ""
+        self.received_messages: list[Message] = []
+        self.close_reason = ""
         self.refused: Counter[str] = Counter()
         self.stream = stream_module.SealedStream(
             self, lambda: [key], fleet, connector, self.refused
         )
-        self.transport = KeptTransport(self.stream)
+        self.transport = BufferingTransport(self.stream)
         self.stream.connection_made(cast(asyncio.Transport, self.transport))
         self.life = bytes(self.transport.written)
 
     def opened(self, stream: SealedStream) -> None:
-        """The other end's life has come."""
+        """The other end's life has arrived."""
 
     def received(self, stream: SealedStream, message: Message) -> None:
-        self.taken.append(message)
+        self.received_messages.append(message)
 
     def writable(self, stream: SealedStream) -> None:
-        """Never paused."""
+        """The stream is never paused."""
 
     def closed(self, stream: SealedStream, why: str) -> None:
-        self.why = why
+        self.close_reason = why
 
-    def hear(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         self.stream.data_received(data)
 
 
 class Pair:
-    """A receiving end and a sending one that have exchanged their lives."""
+    """A receiving and a sending end that have exchanged their lives."""
 
     def __init__(self, connector: bool, key: bytes = KEY, fleet: str = FLEET) -> None:
-        """`connector` is the receiving end's side, key and fleet are the sending one's."""
-        self.receiver = End(connector)
-        self.sender = End(not connector, key, fleet)
-        self.receiver.hear(self.sender.transport.take())
-        self.sender.hear(self.receiver.transport.take())
+        """`connector` applies to the receiving end, `key` and `fleet` to the sending end."""
+        self.receiver = StreamEnd(connector)
+        self.sender = StreamEnd(not connector, key, fleet)
+        self.receiver.receive(self.sender.transport.take_written())
+        self.sender.receive(self.receiver.transport.take_written())
 
-    def say(self) -> bytes:
-        """What the sender makes of one message."""
-        self.sender.stream.send(SAID)
-        return self.sender.transport.take()
+    def make_frame(self) -> bytes:
+        """Send one message. Returns the frame that the sender wrote."""
+        self.sender.stream.send(MESSAGE)
+        return self.sender.transport.take_written()
 
 
 def frame(data: bytes) -> bytes:
     return FRAME_LENGTH.pack(len(data)) + data
 
 
-# ---- attacks: each returns the receiving end once it has read what was made -------------------
+# ---- attacks: each returns the receiving end after it has read the attack's bytes --------------
 
 
-def another_key(connector: bool) -> End:
+def another_key(connector: bool) -> StreamEnd:
     pair = Pair(connector, key=OTHER_KEY)
-    pair.receiver.hear(pair.say())
+    pair.receiver.receive(pair.make_frame())
     return pair.receiver
 
 
-def another_fleet(connector: bool) -> End:
+def another_fleet(connector: bool) -> StreamEnd:
     pair = Pair(connector, fleet=OTHER_FLEET)
-    pair.receiver.hear(pair.say())
+    pair.receiver.receive(pair.make_frame())
     return pair.receiver
 
 
-def altered(connector: bool) -> End:
+def altered(connector: bool) -> StreamEnd:
     pair = Pair(connector)
-    data = bytearray(pair.say())
+    data = bytearray(pair.make_frame())
     data[-1] ^= 1
-    pair.receiver.hear(bytes(data))
+    pair.receiver.receive(bytes(data))
     return pair.receiver
 
 
-def truncated(connector: bool) -> End:
+def truncated(connector: bool) -> StreamEnd:
     pair = Pair(connector)
-    pair.receiver.hear(pair.say()[:-1])
+    pair.receiver.receive(pair.make_frame()[:-1])
     pair.receiver.transport.abort()
     return pair.receiver
 
 
-def unsealed(connector: bool) -> End:
+def unsealed(connector: bool) -> StreamEnd:
     pair = Pair(connector)
-    pair.receiver.hear(frame(pack(SAID).ljust(64, b"\0")))
+    pair.receiver.receive(frame(pack(MESSAGE).ljust(64, b"\0")))
     return pair.receiver
 
 
-def oversize(connector: bool) -> End:
+def oversize(connector: bool) -> StreamEnd:
     pair = Pair(connector)
-    pair.receiver.hear(FRAME_LENGTH.pack(MAX_SEALED_BYTES + 1))
+    pair.receiver.receive(FRAME_LENGTH.pack(MAX_SEALED_BYTES + 1))
     return pair.receiver
 
 
-def said_twice(connector: bool) -> End:
+def sent_twice(connector: bool) -> StreamEnd:
     pair = Pair(connector)
-    data = pair.say()
-    pair.receiver.hear(data)
-    assert pair.receiver.taken.pop() == SAID
-    pair.receiver.hear(data)
+    data = pair.make_frame()
+    pair.receiver.receive(data)
+    assert pair.receiver.received_messages.pop() == MESSAGE
+    pair.receiver.receive(data)
     return pair.receiver
 
 
-def recorded(connector: bool) -> End:
-    """All that one end said on an earlier connection, its life included."""
+def replayed_connection(connector: bool) -> StreamEnd:
+    """Replay everything that one end sent on an earlier connection, including its life."""
     earlier = Pair(connector)
-    played = earlier.sender.life + earlier.say()
-    receiver = End(connector)
-    receiver.hear(played)
+    played = earlier.sender.life + earlier.make_frame()
+    receiver = StreamEnd(connector)
+    receiver.receive(played)
     return receiver
 
 
-ATTACKS: dict[str, tuple[Callable[[bool], End], str]] = {
+ATTACKS: dict[str, tuple[Callable[[bool], StreamEnd], str]] = {
     "another key": (another_key, "stranger"),
     "another fleet": (another_fleet, "forged"),
     "altered": (altered, "forged"),
     "truncated": (truncated, "truncated"),
     "unsealed": (unsealed, "version"),
     "oversize": (oversize, "oversize"),
-    "said twice": (said_twice, "replay"),
-    "recorded": (recorded, "forged"),
+    "said twice": (sent_twice, "replay"),
+    "recorded": (replayed_connection, "forged"),
 }
 
 
-def refuses(name: str, connector: bool) -> bool:
+def is_refused(name: str, connector: bool) -> bool:
     """Whether an attack is refused, counted once, and ends the connection with its remedy."""
     attack, reason = ATTACKS[name]
     end = attack(connector)
-    told = REMEDIES[reason] in end.why and end.stream.refusal == reason
-    return not end.taken and end.transport.closed and told and end.refused == {reason: 1}
+    has_remedy = REMEDIES[reason] in end.close_reason and end.stream.refusal == reason
+    return (
+        not end.received_messages
+        and end.transport.closed
+        and has_remedy
+        and end.refused == {reason: 1}
+    )
 
 
 @pytest.mark.parametrize("connector", [True, False], ids=["at a subscriber", "at a source"])
 @pytest.mark.parametrize("name", ATTACKS)
-def test_it_is_refused_and_counted(name: str, connector: bool) -> None:
-    assert refuses(name, connector)
+def test_an_attack_is_refused_and_counted(name: str, connector: bool) -> None:
+    assert is_refused(name, connector)
 
 
 @pytest.mark.parametrize("connector", [True, False])
-def test_what_is_sealed_for_us_is_taken(connector: bool) -> None:
+def test_sealed_messages_are_received(connector: bool) -> None:
     pair = Pair(connector)
-    pair.receiver.hear(pair.say() + pair.say())
-    assert pair.receiver.taken == [SAID, SAID]
+    pair.receiver.receive(pair.make_frame() + pair.make_frame())
+    assert pair.receiver.received_messages == [MESSAGE, MESSAGE]
     assert not pair.receiver.refused and not pair.receiver.transport.closed
 
 
 @pytest.mark.parametrize("connector", [True, False])
 def test_no_byte_of_a_frame_can_be_altered(connector: bool) -> None:
-    length = len(Pair(connector).say())
-    for place in range(FRAME_LENGTH.size, length):
+    length = len(Pair(connector).make_frame())
+    for position in range(FRAME_LENGTH.size, length):
         pair = Pair(connector)
-        data = bytearray(pair.say())
-        data[place] ^= 0x40
-        pair.receiver.hear(bytes(data))
-        assert not pair.receiver.taken and pair.receiver.transport.closed, place
-        assert pair.receiver.refused.total() == 1, place
+        data = bytearray(pair.make_frame())
+        data[position] ^= 0x40
+        pair.receiver.receive(bytes(data))
+        assert not pair.receiver.received_messages and pair.receiver.transport.closed, position
+        assert pair.receiver.refused.total() == 1, position
 
 
-# ---- checks taken out ------------------------------------------------------------------------
+# ---- disabled checks -------------------------------------------------------------------------
 
 
 class UnboundSeal(Seal):
-    """Seals are not bound to the fleet's name and the connection's two lives."""
+    """A seal that does not cover the fleet's name and the two lives of the connection."""
 
     def __init__(self, keys: Sequence[bytes], bound: bytes, life: bytes) -> None:
         super().__init__(keys, b"", life)
 
 
-class OpenStream(SealedStream):
-    """Takes what is not sealed."""
+class UnsealedStream(SealedStream):
+    """Accepts messages without a valid seal."""
 
     def _open_frame(self, data: bytes) -> None:
         assert self._seal is not None
@@ -240,22 +245,22 @@
 
 
 class UncountedStream(SealedStream):
-    """Ends the connection and counts nothing."""
+    """Closes the connection without counting the refusal."""
 
     def refuse(self, reason: str, what: str) -> None:
         self._buffer.clear()
         self.abort(what)
 
 
-class ForgivingStream(SealedStream):
-    """Counts, and goes on with the connection."""
+class KeepOpenStream(SealedStream):
+    """Counts the refusal but keeps the connection open."""
 
     def refuse(self, reason: str, what: str) -> None:
         self._refused[reason] += 1
 
 
 Patch = tuple[object, str, object]
-CHECKS: dict[str, tuple[Patch, set[str]]] = {
+DISABLED_CHECKS: dict[str, tuple[Patch, set[str]]] = {
     "the seal's bounds": (
         (stream_module, "Seal", UnboundSeal),
         {"another fleet", "recorded"},
@@ -266,7 +271,7 @@
     ),
     "the length": ((stream_module, "MAX_SEALED_BYTES", 1 << 32), {"oversize"}),
     "seals": (
-        (stream_module, "SealedStream", OpenStream),
+        (stream_module, "SealedStream", UnsealedStream),
         {"another key", "another fleet", "altered", "unsealed", "said twice", "recorded"},
     ),
     "counting": (
@@ -274,25 +279,25 @@
         set(ATTACKS) - {"truncated"},
     ),
     "the end of the connection": (
-        (stream_module, "SealedStream", ForgivingStream),
+        (stream_module, "SealedStream", KeepOpenStream),
         set(ATTACKS) - {"truncated"},
     ),
 }
 
 
-@pytest.mark.parametrize("check", CHECKS)
-def test_a_check_that_is_taken_out_is_found(check: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    (where, name, replacement), found = CHECKS[check]
+@pytest.mark.parametrize("check", DISABLED_CHECKS)
+def test_the_attacks_detect_a_disabled_check(check: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    (where, name, replacement), found = DISABLED_CHECKS[check]
     monkeypatch.setattr(where, name, replacement)
-    assert {attack for attack in ATTACKS if not refuses(attack, True)} == found
+    assert {attack for attack in ATTACKS if not is_refused(attack, True)} == found
 
 
-def test_a_life_is_never_used_twice() -> None:
-    lives = {End(True).life for _ in range(100)}
+def test_each_stream_has_a_life_of_its_own() -> None:
+    lives = {StreamEnd(True).life for _ in range(100)}
     assert len(lives) == 100 and all(len(life) == LIFE_BYTES for life in lives)
 
 
-def test_the_log_names_the_peer_and_the_remedy_and_is_bounded() -> None:
+def test_the_refusal_log_names_the_peer_and_the_remedy_at_a_limited_rate() -> None:
     lines: list[str] = []
     log = RefusalLog(lines.append)
     for number in range(1, 1001):
--- a/tests/distribution/test_sockets.py
+++ b/tests/distribution/test_sockets.py
@@ -1,4 +1,4 @@
-"""Publisher, distributor and instance in one loop, over real sockets."""
+"""Publisher, distributor and instance in one event loop, over real sockets."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class Publisher:
-    """A source whose changes a test makes."""
+    """A source whose changes the test makes."""
 
     def __init__(self, epoch: Epoch, parent: Position | None = None) -> None:
         self.replica = Replica(PARAMETERS.max_resumable_changes, epoch)
@@ -61,7 +61,7 @@
 
 @dataclass
 class Follower:
-    """A subscriber that puts into force at once."""
+    """A subscriber that puts every batch into force at once."""
 
     client: SubscriberClient
     answers: dict[int, tuple[str, ...] | None]
@@ -75,7 +75,7 @@
         return entry.body if entry is not None else None
 
 
-def instance(name: str, addresses: list[str]) -> Follower:
+def start_instance(name: str, addresses: list[str]) -> Follower:
     answers: dict[int, tuple[str, ...] | None] = {}
 
     def handle(action: Action) -> None:
@@ -98,14 +98,16 @@
 
 
 @contextlib.asynccontextmanager
-async def served() -> AsyncIterator[tuple[Publisher, Distributor, Follower]]:
+async def running_fleet() -> AsyncIterator[tuple[Publisher, Distributor, Follower]]:
     publisher = Publisher(Epoch(1, b"a"))
     publisher.change("t1", 1, b"one")
     publisher.change("t2", 2, b"two")
-    at = await publisher.server.start(LOCAL)
-    distributor = Distributor("d1", (f"{at.host}:{at.port}",), keys, "fleet", PARAMETERS, Random(2))
-    below = await distributor.start(LOCAL)
-    follower = instance("i1", [f"{below.host}:{below.port}"])
+    address = await publisher.server.start(LOCAL)
+    distributor = Distributor(
+        "d1", (f"{address.host}:{address.port}",), keys, "fleet", PARAMETERS, Random(2)
+    )
+    distributor_address = await distributor.start(LOCAL)
+    follower = start_instance("i1", [f"{distributor_address.host}:{distributor_address.port}"])
     try:
         yield publisher, distributor, follower
     finally:
@@ -115,9 +117,9 @@
         await asyncio.sleep(0.02)
 
 
-def test_an_instance_holds_what_it_asked_for_and_hears_of_its_changes_alone() -> None:
-    async def story() -> None:
-        async with served() as (publisher, distributor, follower):
+def test_an_instance_receives_only_changes_of_tenants_it_looked_up() -> None:
+    async def scenario() -> None:
+        async with running_fleet() as (publisher, distributor, follower):
             await until(lambda: len(distributor.replica.entries) == 2)
             question = follower.client.lookup([alias_of_host("t1.example")])
             await until(lambda: question in follower.answers)
@@ -128,25 +130,25 @@
             assert set(follower.replica.entries) == {"t1"}
             await until(lambda: distributor.source.rollout("t1", 4).have == 1)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_source_that_answers_too_late_is_closed_and_never_told_who_dialled() -> None:
-    async def story() -> None:
+def test_a_source_that_answers_too_late_is_disconnected_before_the_hello() -> None:
+    async def scenario() -> None:
         publishers = [Publisher(Epoch(1, b"a")) for _ in range(2)]
         addresses = []
         for publisher in publishers:
             publisher.change("t1", 1, b"one")
-            at = await publisher.server.start(LOCAL)
-            addresses.append(f"{at.host}:{at.port}")
+            address = await publisher.server.start(LOCAL)
+            addresses.append(f"{address.host}:{address.port}")
         answers = asyncio.Event()
         dialled: list[str] = []
 
-        async def first_dial_hangs(address: str, made: Callable[[], SealedStream]) -> object:
+        async def delay_first_dial(address: str, make_stream: Callable[[], SealedStream]) -> object:
             dialled.append(address)
             if len(dialled) == 1:
                 await answers.wait()
-            return await dial(address, made)
+            return await dial(address, make_stream)
 
         parameters = replace(PARAMETERS, attempt_delay_ns=20 * MS, dial_timeout_ns=60 * SECOND)
         subscriber = Subscriber(
@@ -158,18 +160,18 @@
             time.monotonic_ns(),
         )
         client = SubscriberClient(
-            subscriber, keys, "fleet", lambda _action: None, dialer=first_dial_hangs
+            subscriber, keys, "fleet", lambda _action: None, dialer=delay_first_dial
         )
         client.start()
         await until(lambda: client.connected)
         assert len(dialled) == 2 and subscriber.address == dialled[1]
-        late = publishers[addresses.index(dialled[0])].source
+        late_source = publishers[addresses.index(dialled[0])].source
         answers.set()
-        await until(lambda: late._next_number > 1 and not late.sessions)
-        assert late.messages_in == 0 and subscriber.losses == 0
+        await until(lambda: late_source._next_number > 1 and not late_source.sessions)
+        assert late_source.messages_in == 0 and subscriber.losses == 0
         client.stop()
         for publisher in publishers:
             publisher.server.stop()
         await asyncio.sleep(0.02)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/distribution/test_stream.py
+++ b/tests/distribution/test_stream.py
@@ -1,6 +1,6 @@
-"""Streams on raw sockets: strangers, other fleets, what is unsealed, truncated, oversize, replayed.
+"""Bad input on raw sockets: wrong keys or fleets, unsealed, truncated, oversize, replayed frames.
 
-Each is refused and counted, and an honest connection beside it goes on.
+Each is refused and counted, and an honest connection to the same source continues.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 KEY, OTHER_KEY = bytes(range(32)), bytes(32)
 FLEET = "fleet"
 PARAMETERS = Parameters(heartbeat_interval_ns=20 * MS, silence_timeout_ns=60 * SECOND)
-LIMIT_S = 20.0  # a hang, not a measure
+TIMEOUT_S = 20.0  # reached only where the test hangs
 
 
 def frame(data: bytes) -> bytes:
@@ -47,8 +47,8 @@
 
 
 @dataclass
-class Raw:
-    """A connection whose bytes a test writes; `seal` is what an honest connector would use."""
+class RawConnection:
+    """A connection whose bytes the test writes. `seal` is the seal of an honest connector."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -57,27 +57,27 @@
     def send(self, data: bytes) -> None:
         self.writer.write(data)
 
-    def say(self, message: Message) -> bytes:
-        """Seal and send; returns the frame."""
+    def send_message(self, message: Message) -> bytes:
+        """Seal and send a message. Returns the frame."""
         data = frame(self.seal.seal(pack(message)))
         self.send(data)
         return data
 
-    async def hear(self) -> Message:
-        async with asyncio.timeout(LIMIT_S):
+    async def receive(self) -> Message:
+        async with asyncio.timeout(TIMEOUT_S):
             (length,) = FRAME_LENGTH.unpack(await self.reader.readexactly(FRAME_LENGTH.size))
             return unpack(self.seal.open(await self.reader.readexactly(length))[1])
 
-    async def ended(self) -> None:
-        """Until the other end has closed."""
-        async with asyncio.timeout(LIMIT_S):
+    async def wait_closed(self) -> None:
+        """Wait until the other end has closed."""
+        async with asyncio.timeout(TIMEOUT_S):
             with contextlib.suppress(ConnectionError):
                 while await self.reader.read(1 << 16):
                     pass
 
 
 class Listener:
-    """A source that listens, and an honest connection to it."""
+    """A listening source with an honest connection to it."""
 
     def __init__(self) -> None:
         replica = Replica(PARAMETERS.max_resumable_changes, Epoch(1, b"a"))
@@ -86,109 +86,111 @@
         self.log: list[str] = []
         self.server = SourceServer(self.source, lambda: [KEY], FLEET, log=self.log.append)
         self.at = Address("127.0.0.1", 0)
-        self.honest: Raw
+        self.honest: RawConnection
 
-    async def connect(self, key: bytes = KEY, fleet: str = FLEET, life: bytes | None = None) -> Raw:
+    async def connect(
+        self, key: bytes = KEY, fleet: str = FLEET, life: bytes | None = None
+    ) -> RawConnection:
         reader, writer = await asyncio.open_connection(*self.at)
-        ours = life or hashlib.sha256(str(time.monotonic_ns()).encode()).digest()[:LIFE_BYTES]
-        writer.write(ours)
-        async with asyncio.timeout(LIMIT_S):
-            theirs = await reader.readexactly(LIFE_BYTES)
-        rows = [b"tansywood distribution 1", fleet.encode(), ours, theirs]
-        bound = hashlib.sha256(b"\n".join(rows)).digest()
-        return Raw(reader, writer, Seal([key], bound, ours))
-
-    async def counted(self, reason: str) -> None:
-        async with asyncio.timeout(LIMIT_S):
+        own_life = life or hashlib.sha256(str(time.monotonic_ns()).encode()).digest()[:LIFE_BYTES]
+        writer.write(own_life)
+        async with asyncio.timeout(TIMEOUT_S):
+            peer_life = await reader.readexactly(LIFE_BYTES)
+        rows = [b"tansywood distribution 1", fleet.encode(), own_life, peer_life]
+        binding = hashlib.sha256(b"\n".join(rows)).digest()
+        return RawConnection(reader, writer, Seal([key], binding, own_life))
+
+    async def wait_refused(self, reason: str) -> None:
+        async with asyncio.timeout(TIMEOUT_S):
             while not self.server.refused[reason]:
                 await asyncio.sleep(0.005)
 
-    async def honest_goes_on(self) -> None:
-        """It is heard and answered after what has happened beside it."""
+    async def check_honest_connection(self) -> None:
+        """The source still reads from the honest connection and still sends heartbeats to it."""
         before = self.source.messages_in
-        self.honest.say(Acknowledge(1))
-        async with asyncio.timeout(LIMIT_S):
+        self.honest.send_message(Acknowledge(1))
+        async with asyncio.timeout(TIMEOUT_S):
             while self.source.messages_in == before:
                 await asyncio.sleep(0.005)
-        assert isinstance(await self.honest.hear(), Progress)
+        assert isinstance(await self.honest.receive(), Progress)
 
 
 @contextlib.asynccontextmanager
 async def listening() -> AsyncIterator[Listener]:
-    made = Listener()
-    made.at = await made.server.start(made.at)
+    listener = Listener()
+    listener.at = await listener.server.start(listener.at)
     try:
-        made.honest = await made.connect()
-        made.honest.say(Hello("honest"))
-        assert isinstance(await made.honest.hear(), Welcome)
-        yield made
+        listener.honest = await listener.connect()
+        listener.honest.send_message(Hello("honest"))
+        assert isinstance(await listener.honest.receive(), Welcome)
+        yield listener
     finally:
-        made.server.stop()
+        listener.server.stop()
 
 
-async def another_key(listener: Listener) -> Raw:
+async def another_key(listener: Listener) -> RawConnection:
     raw = await listener.connect(key=OTHER_KEY)
-    raw.say(Hello("n"))
+    raw.send_message(Hello("n"))
     return raw
 
 
-async def another_fleet(listener: Listener) -> Raw:
+async def another_fleet(listener: Listener) -> RawConnection:
     raw = await listener.connect(fleet="another")
-    raw.say(Hello("n"))
+    raw.send_message(Hello("n"))
     return raw
 
 
-async def unsealed(listener: Listener) -> Raw:
+async def unsealed(listener: Listener) -> RawConnection:
     raw = await listener.connect()
     raw.send(frame(pack(Hello("n" * 63))))
     return raw
 
 
-async def too_short(listener: Listener) -> Raw:
+async def too_short(listener: Listener) -> RawConnection:
     raw = await listener.connect()
     raw.send(frame(b"x"))
     return raw
 
 
-async def truncated(listener: Listener) -> Raw:
+async def truncated(listener: Listener) -> RawConnection:
     raw = await listener.connect()
     raw.send(frame(raw.seal.seal(pack(Hello("n"))))[:-1])
     raw.writer.write_eof()
     return raw
 
 
-async def oversize(listener: Listener) -> Raw:
+async def oversize(listener: Listener) -> RawConnection:
     raw = await listener.connect()
     raw.send(FRAME_LENGTH.pack(MAX_SEALED_BYTES + 1))
     return raw
 
 
-async def twice(listener: Listener) -> Raw:
+async def sent_twice(listener: Listener) -> RawConnection:
     raw = await listener.connect()
-    raw.send(raw.say(Hello("n")))
+    raw.send(raw.send_message(Hello("n")))
     return raw
 
 
-async def replayed(listener: Listener) -> Raw:
-    """Frames of a recorded connection, with its life, in a new one."""
+async def replayed(listener: Listener) -> RawConnection:
+    """Send the frames and the life of a recorded connection on a new one."""
     life = bytes(LIFE_BYTES)
     recorded = await listener.connect(life=life)
-    data = recorded.say(Hello("n"))
-    assert isinstance(await recorded.hear(), Welcome)
+    data = recorded.send_message(Hello("n"))
+    assert isinstance(await recorded.receive(), Welcome)
     raw = await listener.connect(life=life)
     raw.send(data)
     return raw
 
 
-async def no_message(listener: Listener) -> Raw:
+async def undecodable(listener: Listener) -> RawConnection:
     raw = await listener.connect()
     raw.send(frame(raw.seal.seal(b"\xc1")))
     return raw
 
 
-async def out_of_turn(listener: Listener) -> Raw:
+async def out_of_turn(listener: Listener) -> RawConnection:
     raw = await listener.connect()
-    raw.say(Acknowledge(1))
+    raw.send_message(Acknowledge(1))
     return raw
 
 
@@ -201,24 +203,24 @@
         (too_short, "short"),
         (truncated, "truncated"),
         (oversize, "oversize"),
-        (twice, "replay"),
+        (sent_twice, "replay"),
         (replayed, "forged"),
-        (no_message, "message"),
+        (undecodable, "message"),
         (out_of_turn, "protocol"),
     ],
 )
-def test_it_is_refused_and_counted_and_the_honest_go_on(
-    attack: Callable[[Listener], Awaitable[Raw]], reason: str
+def test_bad_input_is_refused_and_counted_and_an_honest_connection_continues(
+    attack: Callable[[Listener], Awaitable[RawConnection]], reason: str
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         async with listening() as listener:
             raw = await attack(listener)
-            await listener.counted(reason)
-            await raw.ended()
+            await listener.wait_refused(reason)
+            await raw.wait_closed()
             assert sum(listener.server.refused.values()) == listener.server.refused[reason] == 1
             (line,) = (line for line in listener.log if line.startswith(f"refused ({reason}"))
             host, port = raw.writer.get_extra_info("sockname")
             assert f"{host}:{port}" in line and REMEDIES[reason] in line
-            await listener.honest_goes_on()
+            await listener.check_honest_connection()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/distribution/test_subscriber.py
+++ b/tests/distribution/test_subscriber.py
@@ -1,4 +1,4 @@
-"""A subscriber's choice of sources: spread, jitter, times to come back, silence, staleness."""
+"""How a subscriber chooses sources: spread, jitter, retry times, silence and staleness."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
 WELCOME = Welcome(Position(EPOCH, 10), compare=True)
 
 
-class Follower:
-    """A subscriber whose connections are made at once."""
+class SubscriberHarness:
+    """A subscriber in simulated time, whose messages the test sends and receives."""
 
     def __init__(self, name: str = "n", addresses: list[str] | None = None) -> None:
         self.now = SECOND
@@ -53,18 +53,18 @@
         self.dialled: list[str] = []
 
     def wait(self, time: int) -> None:
-        """Let time pass, up to each timer."""
+        """Advance the time, and call `tick` whenever it is due."""
         until = self.now + time
         while self.subscriber.next_due() <= until:
             self.now = max(self.subscriber.next_due(), self.now)
             self.subscriber.tick(self.now)
-            self._note()
+            self._record_dials()
         self.now = until
 
-    def _note(self) -> None:
+    def _record_dials(self) -> None:
         self.dialled += [a.address for a in self.subscriber.actions if isinstance(a, Dial)]
 
-    def hears(self, *messages: Message) -> None:
+    def receive(self, *messages: Message) -> None:
         for message in messages:
             self.subscriber.received(self.subscriber.attempt, self.now, message)
 
@@ -72,14 +72,14 @@
         while self.subscriber.link is not Link.DIALING:
             self.wait(MS)
         self.subscriber.connected(self.subscriber.attempt, self.now)
-        self.hears(answer)
+        self.receive(answer)
 
-    def said(self) -> list[Message]:
+    def take_sent(self) -> list[Message]:
         actions, self.subscriber.actions = self.subscriber.actions, []
         return [action.message for action in actions if isinstance(action, Send)]
 
 
-def test_the_subscribers_of_a_lost_source_spread_over_all_others() -> None:
+def test_subscribers_of_a_lost_source_spread_over_all_others() -> None:
     names = [f"node-{n}" for n in range(3_600)]
     subscribers = [Subscriber(n, SOURCES, Replica(1), PARAMETERS, Random(n), 0) for n in names]
     lost = [s for s in subscribers if s.dialing.addresses[0] == SOURCES[0]][:240]
@@ -91,365 +91,363 @@
 def test_reconnects_of_a_lost_source_are_spread_over_time() -> None:
     waits = []
     for n in range(240):
-        follower = Follower(f"node-{n}")
-        follower.connect()
-        follower.subscriber.disconnected(follower.subscriber.attempt, follower.now)
-        waits.append(follower.subscriber.next_due() - follower.now)
+        harness = SubscriberHarness(f"node-{n}")
+        harness.connect()
+        harness.subscriber.disconnected(harness.subscriber.attempt, harness.now)
+        waits.append(harness.subscriber.next_due() - harness.now)
     tenths = Counter(wait * 10 // PARAMETERS.reconnect_backoff_base_ns for wait in waits)
     assert max(waits) <= PARAMETERS.reconnect_backoff_base_ns
     assert max(tenths.values()) <= 48 and len(tenths) >= 10
 
 
-def test_the_bound_of_the_jitter_doubles_up_to_its_most() -> None:
-    follower = Follower()
+def test_the_backoff_bound_doubles_up_to_its_maximum() -> None:
+    harness = SubscriberHarness()
     bounds: Counter[int] = Counter()
     for _ in range(200):
-        follower.subscriber.dialing._failures = 0
+        harness.subscriber.dialing._failures = 0
         for failures in range(6):
-            follower.wait(0)
-            while follower.subscriber.link is not Link.DIALING:
-                follower.wait(MS)
-            follower.subscriber.disconnected(follower.subscriber.attempt, follower.now)
-            wait = follower.subscriber.next_due() - follower.now
+            harness.wait(0)
+            while harness.subscriber.link is not Link.DIALING:
+                harness.wait(MS)
+            harness.subscriber.disconnected(harness.subscriber.attempt, harness.now)
+            wait = harness.subscriber.next_due() - harness.now
             bounds[failures] = max(bounds[failures], wait)
     for failures in range(6):
-        most = min(
+        max_delay = min(
             PARAMETERS.reconnect_backoff_base_ns << failures, PARAMETERS.max_reconnect_backoff_ns
         )
-        assert 0.9 * most < bounds[failures] <= most
+        assert 0.9 * max_delay < bounds[failures] <= max_delay
 
 
-def test_a_source_that_is_busy_is_left_for_others_and_asked_again_not_before_its_time() -> None:
-    follower = Follower(addresses=SOURCES[:2])
+def test_a_busy_source_is_not_dialled_again_before_its_retry_time() -> None:
+    harness = SubscriberHarness(addresses=SOURCES[:2])
     times = {}
     for _ in range(2):
-        while follower.subscriber.link is not Link.DIALING:
-            follower.wait(MS)
-        follower.subscriber.connected(follower.subscriber.attempt, follower.now)
-        times[follower.subscriber.address] = follower.now + 3 * SECOND
-        follower.hears(Busy(3_000, "too many at once"))
+        while harness.subscriber.link is not Link.DIALING:
+            harness.wait(MS)
+        harness.subscriber.connected(harness.subscriber.attempt, harness.now)
+        times[harness.subscriber.address] = harness.now + 3 * SECOND
+        harness.receive(Busy(3_000, "too many at once"))
     assert len(times) == 2
-    while follower.subscriber.link is not Link.DIALING:
-        follower.wait(MS)
-    assert follower.now >= min(times.values())
+    while harness.subscriber.link is not Link.DIALING:
+        harness.wait(MS)
+    assert harness.now >= min(times.values())
 
 
-def test_a_source_that_is_silent_is_left() -> None:
-    follower = Follower()
-    follower.connect()
-    follower.wait(PARAMETERS.silence_timeout_ns - MS)
-    assert follower.subscriber.link is Link.UP
-    heartbeats = [m for m in follower.said() if isinstance(m, Acknowledge)]
+def test_a_silent_source_is_left() -> None:
+    harness = SubscriberHarness()
+    harness.connect()
+    harness.wait(PARAMETERS.silence_timeout_ns - MS)
+    assert harness.subscriber.link is Link.UP
+    heartbeats = [m for m in harness.take_sent() if isinstance(m, Acknowledge)]
     assert (
         len(heartbeats)
         >= 1 + (PARAMETERS.silence_timeout_ns - MS) // PARAMETERS.heartbeat_interval_ns
     )
-    follower.wait(MS)
-    assert follower.subscriber.losses == 1 and "silent" in follower.subscriber.last_loss
+    harness.wait(MS)
+    assert harness.subscriber.losses == 1 and "silent" in harness.subscriber.last_loss
 
 
-def test_stale_sources_are_left_one_right_after_the_other_and_then_ever_less_often() -> None:
-    follower = Follower()
-    left = []
+def test_searches_for_a_fresh_source_are_quick_and_their_interval_doubles() -> None:
+    harness = SubscriberHarness()
+    left_at = []
     only_fresh = []
-    begin = follower.now
-    while follower.now - begin < 100 * SECOND:
-        if follower.subscriber.link is not Link.UP:
-            follower.connect()
-            hellos = [message for message in follower.said() if isinstance(message, Hello)]
+    begin = harness.now
+    while harness.now - begin < 100 * SECOND:
+        if harness.subscriber.link is not Link.UP:
+            harness.connect()
+            hellos = [message for message in harness.take_sent() if isinstance(message, Hello)]
             only_fresh += [hello.only_fresh for hello in hellos]
-        before = follower.subscriber.left_stale
-        follower.hears(Progress(10, age_ms=60_000))
-        if follower.subscriber.left_stale > before:
-            left.append(follower.now)
+        before = harness.subscriber.left_stale
+        harness.receive(Progress(10, age_ms=60_000))
+        if harness.subscriber.left_stale > before:
+            left_at.append(harness.now)
         else:
-            follower.wait(100 * MS)
-    # All three sources are tried, then the last one stays for a while; and again.
-    assert len(left) % 2 == 0
-    rounds = list(zip(left[::2], left[1::2], strict=True))
-    assert rounds[0][0] - begin < SECOND
-    assert all(second - first < PARAMETERS.max_reconnect_backoff_ns for first, second in rounds)
-    gaps = [round((b - a) / SECOND) for a, b in pairwise(first for first, _ in rounds)]
+            harness.wait(100 * MS)
+    # Each search tries all three sources, then stays with the last one until the next search.
+    assert len(left_at) % 2 == 0
+    searches = list(zip(left_at[::2], left_at[1::2], strict=True))
+    assert searches[0][0] - begin < SECOND
+    assert all(second - first < PARAMETERS.max_reconnect_backoff_ns for first, second in searches)
+    gaps = [round((b - a) / SECOND) for a, b in pairwise(first for first, _ in searches)]
     assert gaps == [5, 10, 20, 40]
-    assert only_fresh == [False, *[True, True] * len(rounds)]
+    assert only_fresh == [False, *[True, True] * len(searches)]
 
 
-def test_where_all_sources_are_stale_one_is_followed_all_the_same() -> None:
-    follower = Follower(addresses=SOURCES)
-    follower.connect()
-    follower.hears(Progress(10, age_ms=60_000))
-    follower.said()
-    asked: list[bool] = []
-    while asked[-1:] != [False]:
-        follower.connect(Busy(0, STALE_REASON))
-        asked += [m.only_fresh for m in follower.said() if isinstance(m, Hello)]
-    assert asked == [True] * PARAMETERS.max_stale_switches + [False]
+def test_a_stale_source_is_followed_where_all_are_stale() -> None:
+    harness = SubscriberHarness(addresses=SOURCES)
+    harness.connect()
+    harness.receive(Progress(10, age_ms=60_000))
+    harness.take_sent()
+    only_fresh_flags: list[bool] = []
+    while only_fresh_flags[-1:] != [False]:
+        harness.connect(Busy(0, STALE_REASON))
+        only_fresh_flags += [m.only_fresh for m in harness.take_sent() if isinstance(m, Hello)]
+    assert only_fresh_flags == [True] * PARAMETERS.max_stale_switches + [False]
 
 
 def test_a_fresh_source_is_never_left() -> None:
-    follower = Follower()
-    follower.connect()
+    harness = SubscriberHarness()
+    harness.connect()
     for _ in range(100):
-        follower.hears(Progress(10, age_ms=PARAMETERS.stale_after_ns // MS - 1))
-        follower.wait(PARAMETERS.heartbeat_interval_ns)
-    assert follower.subscriber.losses == 0
+        harness.receive(Progress(10, age_ms=PARAMETERS.stale_after_ns // MS - 1))
+        harness.wait(PARAMETERS.heartbeat_interval_ns)
+    assert harness.subscriber.losses == 0
 
 
-def test_a_source_of_an_older_history_is_left_and_nothing_is_taken_of_it() -> None:
-    follower = Follower()
-    follower.connect()
-    follower.subscriber.disconnected(follower.subscriber.attempt, follower.now)
-    follower.subscriber.actions.clear()
-    follower.connect(Welcome(Position(Epoch(4, b"d"), 99)))
-    assert follower.subscriber.link is Link.DOWN
-    assert [a for a in follower.subscriber.actions if isinstance(a, Disconnect)]
-    assert follower.subscriber.replica.epoch == EPOCH
+def test_a_source_of_an_older_history_is_left_and_its_state_ignored() -> None:
+    harness = SubscriberHarness()
+    harness.connect()
+    harness.subscriber.disconnected(harness.subscriber.attempt, harness.now)
+    harness.subscriber.actions.clear()
+    harness.connect(Welcome(Position(Epoch(4, b"d"), 99)))
+    assert harness.subscriber.link is Link.DOWN
+    assert [a for a in harness.subscriber.actions if isinstance(a, Disconnect)]
+    assert harness.subscriber.replica.epoch == EPOCH
 
 
-# ---- dials beside one another ----------------------------------------------------------------
+# ---- parallel dials --------------------------------------------------------------------------
 
 
-def dials_of(follower: Follower) -> list[Dial]:
-    return [action for action in follower.subscriber.actions if isinstance(action, Dial)]
+def dials_of(harness: SubscriberHarness) -> list[Dial]:
+    return [action for action in harness.subscriber.actions if isinstance(action, Dial)]
 
 
-def link_of(follower: Follower) -> Link:
-    return follower.subscriber.link
+def link_of(harness: SubscriberHarness) -> Link:
+    return harness.subscriber.link
 
 
-def test_where_a_source_does_not_answer_the_next_is_dialled_and_the_first_to_answer_followed() -> (
-    None
-):
-    follower = Follower(addresses=SOURCES)
-    follower.wait(PARAMETERS.attempt_delay_ns - MS)
-    assert len(dials_of(follower)) == 1
-    follower.wait(MS)
-    first, second = dials_of(follower)
+def test_a_second_source_is_dialled_in_parallel_and_the_first_to_answer_is_followed() -> None:
+    harness = SubscriberHarness(addresses=SOURCES)
+    harness.wait(PARAMETERS.attempt_delay_ns - MS)
+    assert len(dials_of(harness)) == 1
+    harness.wait(MS)
+    first, second = dials_of(harness)
     assert first.address != second.address
-    follower.subscriber.connected(second.attempt, follower.now)
-    assert [a.attempt for a in follower.subscriber.actions if isinstance(a, Disconnect)] == [
+    harness.subscriber.connected(second.attempt, harness.now)
+    assert [a.attempt for a in harness.subscriber.actions if isinstance(a, Disconnect)] == [
         first.attempt
     ]
-    assert follower.subscriber.address == second.address
-    follower.subscriber.connected(first.attempt, follower.now)  # too late
-    follower.subscriber.disconnected(first.attempt, follower.now)
-    follower.subscriber.received(first.attempt, follower.now, WELCOME)
-    assert link_of(follower) is Link.GREETING
-    follower.subscriber.received(second.attempt, follower.now, WELCOME)
-    assert link_of(follower) is Link.UP
-    assert len([m for m in follower.said() if isinstance(m, Hello)]) == 1
-
-
-def test_a_dial_that_fails_beside_another_leaves_that_one_alone() -> None:
-    follower = Follower(addresses=SOURCES)
-    follower.wait(PARAMETERS.attempt_delay_ns)
-    first, second = dials_of(follower)
-    follower.subscriber.disconnected(first.attempt, follower.now, "refused")
-    assert link_of(follower) is Link.DIALING
-    follower.subscriber.connected(second.attempt, follower.now)
-    assert link_of(follower) is Link.GREETING
-
-
-def test_dials_beside_one_another_are_few_and_after_one_round_there_are_none() -> None:
-    follower = Follower(addresses=SOURCES)
+    assert harness.subscriber.address == second.address
+    harness.subscriber.connected(first.attempt, harness.now)  # too late
+    harness.subscriber.disconnected(first.attempt, harness.now)
+    harness.subscriber.received(first.attempt, harness.now, WELCOME)
+    assert link_of(harness) is Link.GREETING
+    harness.subscriber.received(second.attempt, harness.now, WELCOME)
+    assert link_of(harness) is Link.UP
+    assert len([m for m in harness.take_sent() if isinstance(m, Hello)]) == 1
+
+
+def test_a_failed_dial_does_not_affect_a_parallel_one() -> None:
+    harness = SubscriberHarness(addresses=SOURCES)
+    harness.wait(PARAMETERS.attempt_delay_ns)
+    first, second = dials_of(harness)
+    harness.subscriber.disconnected(first.attempt, harness.now, "refused")
+    assert link_of(harness) is Link.DIALING
+    harness.subscriber.connected(second.attempt, harness.now)
+    assert link_of(harness) is Link.GREETING
+
+
+def test_parallel_dials_are_few_and_end_once_every_source_was_tried() -> None:
+    harness = SubscriberHarness(addresses=SOURCES)
     open_until: list[int] = []
-    most = Counter[bool]()
-    end = follower.now + 20 * SECOND
-    while follower.now < end:
-        follower.wait(MS)
-        for dial in dials_of(follower):
-            open_until.append(follower.now + PARAMETERS.dial_timeout_ns)
-            open_until = [until for until in open_until if until > follower.now]
-            all_tried = len(set(follower.dialled)) == len(SOURCES)
-            most[all_tried] = max(most[all_tried], len(open_until))
+    max_open_dials = Counter[bool]()
+    end = harness.now + 20 * SECOND
+    while harness.now < end:
+        harness.wait(MS)
+        for dial in dials_of(harness):
+            open_until.append(harness.now + PARAMETERS.dial_timeout_ns)
+            open_until = [until for until in open_until if until > harness.now]
+            all_tried = len(set(harness.dialled)) == len(SOURCES)
+            max_open_dials[all_tried] = max(max_open_dials[all_tried], len(open_until))
             assert dial.address in SOURCES
-        follower.subscriber.actions.clear()
-    assert most[False] == -(-PARAMETERS.dial_timeout_ns // PARAMETERS.attempt_delay_ns)
-    assert most[True] <= most[False]
-    late = [a for a in follower.dialled[2 * len(SOURCES) :]]
+        harness.subscriber.actions.clear()
+    assert max_open_dials[False] == -(-PARAMETERS.dial_timeout_ns // PARAMETERS.attempt_delay_ns)
+    assert max_open_dials[True] <= max_open_dials[False]
+    late = [a for a in harness.dialled[2 * len(SOURCES) :]]
     assert len(late) <= 20 * SECOND // PARAMETERS.dial_timeout_ns
 
 
-def test_one_source_alone_is_dialled_once_at_a_time() -> None:
-    follower = Follower(addresses=SOURCES[:1])
-    follower.wait(PARAMETERS.dial_timeout_ns - MS)
-    assert len(dials_of(follower)) == 1
+def test_a_single_source_is_dialled_once_at_a_time() -> None:
+    harness = SubscriberHarness(addresses=SOURCES[:1])
+    harness.wait(PARAMETERS.dial_timeout_ns - MS)
+    assert len(dials_of(harness)) == 1
 
 
-def test_a_source_that_answers_and_does_not_welcome_is_left() -> None:
-    follower = Follower(addresses=SOURCES)
-    follower.wait(0)
-    follower.subscriber.connected(follower.subscriber.attempt, follower.now)
-    follower.wait(PARAMETERS.dial_timeout_ns)
-    assert follower.subscriber.losses == 1 and "no welcome" in follower.subscriber.last_loss
+def test_a_source_that_accepts_but_sends_no_welcome_is_left() -> None:
+    harness = SubscriberHarness(addresses=SOURCES)
+    harness.wait(0)
+    harness.subscriber.connected(harness.subscriber.attempt, harness.now)
+    harness.wait(PARAMETERS.dial_timeout_ns)
+    assert harness.subscriber.losses == 1 and "no welcome" in harness.subscriber.last_loss
 
 
-def holding(follower: Follower, uid: str, revision: int) -> None:
-    """Ask for a tenant, get it, and put it into force."""
-    follower.subscriber.lookup([f"n:{uid}"], follower.now)
-    serial = [m for m in follower.said() if isinstance(m, Lookup)][-1].question
+def hold_tenant(harness: SubscriberHarness, uid: str, revision: int) -> None:
+    """Look up a tenant, receive it, and put it into force."""
+    harness.subscriber.lookup([f"n:{uid}"], harness.now)
+    serial = [m for m in harness.take_sent() if isinstance(m, Lookup)][-1].question
     state = Resource(uid, revision, Kind.CONTENT, b"body")
-    follower.hears(LookupResult(serial, [uid], [state], 10))
-    for action in list(follower.subscriber.actions):
+    harness.receive(LookupResult(serial, [uid], [state], 10))
+    for action in list(harness.subscriber.actions):
         if isinstance(action, Apply):
-            follower.subscriber.applied(action.batch, follower.now)
+            harness.subscriber.applied(action.batch, harness.now)
 
 
-def test_what_was_given_up_is_not_taken_again_where_it_is_on_its_way() -> None:
-    follower = Follower()
-    follower.connect()
-    holding(follower, "t", 5)
-    late = follower.subscriber.lookup(["n:other-name-of-t"], follower.now)
-    serial = [m for m in follower.said() if isinstance(m, Lookup)][-1].question
-    follower.subscriber.unsubscribe(["t"], follower.now)
-    assert Unsubscribe(["t"]) in follower.said()
+def test_late_messages_do_not_restore_an_unsubscribed_tenant() -> None:
+    harness = SubscriberHarness()
+    harness.connect()
+    hold_tenant(harness, "t", 5)
+    late = harness.subscriber.lookup(["n:other-name-of-t"], harness.now)
+    serial = [m for m in harness.take_sent() if isinstance(m, Lookup)][-1].question
+    harness.subscriber.unsubscribe(["t"], harness.now)
+    assert Unsubscribe(["t"]) in harness.take_sent()
     state = Resource("t", 11, Kind.CONTENT, b"new")
-    follower.hears(Changes([state], 11), LookupResult(serial, ["t"], [state], 11))
-    assert not follower.subscriber.replica.entries
-    assert not [a for a in follower.subscriber.actions if isinstance(a, Answer)]
-    follower.wait(PARAMETERS.lookup_retry_delay_ns)
-    again = [m for m in follower.said() if isinstance(m, Lookup)][-1].question
-    follower.hears(LookupResult(again, ["t"], [state], 11))
-    assert Answer(late, ("t",)) in follower.subscriber.actions
-
-
-def test_an_older_state_is_not_taken_after_giving_up_and_asking_again() -> None:
-    follower = Follower()
-    follower.connect()
-    holding(follower, "t", 9)
-    follower.subscriber.unsubscribe(["t"], follower.now)
-    follower.subscriber.lookup(["n:t"], follower.now)
-    serial = [m for m in follower.said() if isinstance(m, Lookup)][-1].question
-    follower.hears(LookupResult(serial, ["t"], [Resource("t", 4, Kind.CONTENT, b"old")], 6))
-    assert not follower.subscriber.replica.entries
-
-
-def test_what_is_subscribed_to_and_not_held_is_given_up_before_a_comparison() -> None:
-    follower = Follower()
-    follower.connect()
-    holding(follower, "t", 9)
-    follower.subscriber.unsubscribe(["t"], follower.now)
-    follower.subscriber.lookup(["n:t"], follower.now)
-    serial = [m for m in follower.said() if isinstance(m, Lookup)][-1].question
-    follower.hears(LookupResult(serial, ["t"], [Resource("t", 4, Kind.CONTENT, b"old")], 6))
-    assert follower.subscriber.subscriptions == {"t"}
+    harness.receive(Changes([state], 11), LookupResult(serial, ["t"], [state], 11))
+    assert not harness.subscriber.replica.entries
+    assert not [a for a in harness.subscriber.actions if isinstance(a, Answer)]
+    harness.wait(PARAMETERS.lookup_retry_delay_ns)
+    again = [m for m in harness.take_sent() if isinstance(m, Lookup)][-1].question
+    harness.receive(LookupResult(again, ["t"], [state], 11))
+    assert Answer(late, ("t",)) in harness.subscriber.actions
+
+
+def test_an_older_state_is_ignored_after_unsubscribing_and_looking_up_again() -> None:
+    harness = SubscriberHarness()
+    harness.connect()
+    hold_tenant(harness, "t", 9)
+    harness.subscriber.unsubscribe(["t"], harness.now)
+    harness.subscriber.lookup(["n:t"], harness.now)
+    serial = [m for m in harness.take_sent() if isinstance(m, Lookup)][-1].question
+    harness.receive(LookupResult(serial, ["t"], [Resource("t", 4, Kind.CONTENT, b"old")], 6))
+    assert not harness.subscriber.replica.entries
+
+
+def test_subscriptions_without_a_held_state_end_before_a_comparison() -> None:
+    harness = SubscriberHarness()
+    harness.connect()
+    hold_tenant(harness, "t", 9)
+    harness.subscriber.unsubscribe(["t"], harness.now)
+    harness.subscriber.lookup(["n:t"], harness.now)
+    serial = [m for m in harness.take_sent() if isinstance(m, Lookup)][-1].question
+    harness.receive(LookupResult(serial, ["t"], [Resource("t", 4, Kind.CONTENT, b"old")], 6))
+    assert harness.subscriber.subscriptions == {"t"}
     another = Position(Epoch(6, b"f"), 6)
-    follower.hears(Welcome(another, compare=True, parent=Position(EPOCH, 6)))
-    assert [m for m in follower.said() if isinstance(m, Unsubscribe)] == [Unsubscribe(["t"])]
-    assert not follower.subscriber.subscriptions
-    follower.wait(PARAMETERS.lookup_retry_delay_ns)
-    assert [m for m in follower.said() if isinstance(m, Lookup)]
-
-
-def test_refusals_are_told_to_each_source_that_is_come_to() -> None:
-    follower = Follower()
-    follower.connect()
-    holding(follower, "t", 5)
-    follower.subscriber.actions.clear()
-    follower.hears(Changes([Resource("t", 11, Kind.CONTENT, b"bad")], 11))
-    (apply,) = (a for a in follower.subscriber.actions if isinstance(a, Apply))
+    harness.receive(Welcome(another, compare=True, parent=Position(EPOCH, 6)))
+    assert [m for m in harness.take_sent() if isinstance(m, Unsubscribe)] == [Unsubscribe(["t"])]
+    assert not harness.subscriber.subscriptions
+    harness.wait(PARAMETERS.lookup_retry_delay_ns)
+    assert [m for m in harness.take_sent() if isinstance(m, Lookup)]
+
+
+def test_refusals_are_sent_to_each_new_source() -> None:
+    harness = SubscriberHarness()
+    harness.connect()
+    hold_tenant(harness, "t", 5)
+    harness.subscriber.actions.clear()
+    harness.receive(Changes([Resource("t", 11, Kind.CONTENT, b"bad")], 11))
+    (apply,) = (a for a in harness.subscriber.actions if isinstance(a, Apply))
     refusal = Refusal("t", 11, "no document")
-    follower.subscriber.applied(apply.batch, follower.now, [refusal])
-    assert Acknowledge(11, [refusal], 1) in follower.said()
-    follower.subscriber.disconnected(follower.subscriber.attempt, follower.now)
-    follower.connect(Welcome(Position(EPOCH, 11)))
-    assert Acknowledge(11, [refusal], 1) in follower.said()
-
-
-def finding(follower: Follower, uid: str) -> int:
-    """Ask for a tenant and get it; returns the batch in which it is put into force."""
-    follower.subscriber.lookup([f"n:{uid}"], follower.now)
-    serial = [m for m in follower.said() if isinstance(m, Lookup)][-1].question
-    follower.hears(LookupResult(serial, [uid], [Resource(uid, 5, Kind.CONTENT, b"body")], 10))
-    (apply,) = (a for a in follower.subscriber.actions if isinstance(a, Apply))
+    harness.subscriber.applied(apply.batch, harness.now, [refusal])
+    assert Acknowledge(11, [refusal], 1) in harness.take_sent()
+    harness.subscriber.disconnected(harness.subscriber.attempt, harness.now)
+    harness.connect(Welcome(Position(EPOCH, 11)))
+    assert Acknowledge(11, [refusal], 1) in harness.take_sent()
+
+
+def find_tenant(harness: SubscriberHarness, uid: str) -> int:
+    """Look up a tenant and receive it. Returns the batch to be put into force."""
+    harness.subscriber.lookup([f"n:{uid}"], harness.now)
+    serial = [m for m in harness.take_sent() if isinstance(m, Lookup)][-1].question
+    harness.receive(LookupResult(serial, [uid], [Resource(uid, 5, Kind.CONTENT, b"body")], 10))
+    (apply,) = (a for a in harness.subscriber.actions if isinstance(a, Apply))
     return apply.batch
 
 
-def acknowledged(follower: Follower) -> list[tuple[int, int | None]]:
-    return [(m.revision, m.answered) for m in follower.said() if isinstance(m, Acknowledge)]
-
-
-def test_what_a_lookup_found_is_said_to_be_in_force_once_it_is() -> None:
-    follower = Follower()
-    follower.connect()
-    follower.hears(Progress(10))
-    batch = finding(follower, "t")
-    follower.wait(PARAMETERS.heartbeat_interval_ns)
-    assert acknowledged(follower) == [(10, 0)]
-    follower.subscriber.applied(batch, follower.now)
-    assert acknowledged(follower) == [(10, 1)]
-
-
-def test_an_answer_of_several_messages_is_in_force_once_the_last_of_them_is() -> None:
-    follower = Follower()
-    follower.connect()
-    follower.hears(Progress(10))
-    follower.subscriber.lookup(["n:t", "n:u"], follower.now)
-    follower.said()
-    follower.hears(LookupResult(1, ["t", "u"], [Resource("t", 5, Kind.CONTENT, b"body")], 10))
-    (first,) = (a for a in follower.subscriber.actions if isinstance(a, Apply))
-    follower.subscriber.applied(first.batch, follower.now)
-    assert not acknowledged(follower)
-    follower.hears(Changes([Resource("u", 6, Kind.CONTENT, b"body")], 0))
-    (second,) = (a for a in follower.subscriber.actions if isinstance(a, Apply))
-    follower.subscriber.applied(second.batch, follower.now)
-    assert acknowledged(follower) == [(10, 1)]
-
-
-def test_another_source_is_not_told_either_that_what_was_found_is_in_force() -> None:
-    follower = Follower()
-    follower.connect()
-    follower.hears(Progress(10))
-    batch = finding(follower, "t")
-    follower.subscriber.disconnected(follower.subscriber.attempt, follower.now)
-    follower.said()
-    follower.connect(Welcome(Position(EPOCH, 10)))
-    assert acknowledged(follower) == [(4, 0)]
-    follower.subscriber.applied(batch, follower.now)
-    assert acknowledged(follower) == [(10, 1)]
-
-
-def changing(follower: Follower, revision: int, body: bytes) -> int:
-    """A change of `t` comes; returns the batch in which it is put into force."""
-    follower.subscriber.actions.clear()
-    follower.hears(Changes([Resource("t", revision, Kind.CONTENT, body)], revision))
-    (apply,) = (a for a in follower.subscriber.actions if isinstance(a, Apply))
+def acknowledged(harness: SubscriberHarness) -> list[tuple[int, int | None]]:
+    return [(m.revision, m.answered) for m in harness.take_sent() if isinstance(m, Acknowledge)]
+
+
+def test_a_lookup_is_acknowledged_only_once_its_result_is_in_force() -> None:
+    harness = SubscriberHarness()
+    harness.connect()
+    harness.receive(Progress(10))
+    batch = find_tenant(harness, "t")
+    harness.wait(PARAMETERS.heartbeat_interval_ns)
+    assert acknowledged(harness) == [(10, 0)]
+    harness.subscriber.applied(batch, harness.now)
+    assert acknowledged(harness) == [(10, 1)]
+
+
+def test_a_lookup_is_acknowledged_only_after_the_last_message_of_its_answer() -> None:
+    harness = SubscriberHarness()
+    harness.connect()
+    harness.receive(Progress(10))
+    harness.subscriber.lookup(["n:t", "n:u"], harness.now)
+    harness.take_sent()
+    harness.receive(LookupResult(1, ["t", "u"], [Resource("t", 5, Kind.CONTENT, b"body")], 10))
+    (first,) = (a for a in harness.subscriber.actions if isinstance(a, Apply))
+    harness.subscriber.applied(first.batch, harness.now)
+    assert not acknowledged(harness)
+    harness.receive(Changes([Resource("u", 6, Kind.CONTENT, b"body")], 0))
+    (second,) = (a for a in harness.subscriber.actions if isinstance(a, Apply))
+    harness.subscriber.applied(second.batch, harness.now)
+    assert acknowledged(harness) == [(10, 1)]
+
+
+def test_a_new_source_gets_no_early_acknowledgement_of_a_lookup() -> None:
+    harness = SubscriberHarness()
+    harness.connect()
+    harness.receive(Progress(10))
+    batch = find_tenant(harness, "t")
+    harness.subscriber.disconnected(harness.subscriber.attempt, harness.now)
+    harness.take_sent()
+    harness.connect(Welcome(Position(EPOCH, 10)))
+    assert acknowledged(harness) == [(4, 0)]
+    harness.subscriber.applied(batch, harness.now)
+    assert acknowledged(harness) == [(10, 1)]
+
+
+def receive_change(harness: SubscriberHarness, revision: int, body: bytes) -> int:
+    """Receive a change of `t`. Returns the batch to be put into force."""
+    harness.subscriber.actions.clear()
+    harness.receive(Changes([Resource("t", revision, Kind.CONTENT, body)], revision))
+    (apply,) = (a for a in harness.subscriber.actions if isinstance(a, Apply))
     return apply.batch
 
 
-def refusals_said(follower: Follower) -> list[Refusal]:
-    return [r for m in follower.said() if isinstance(m, Acknowledge) for r in m.refusals]
+def sent_refusals(harness: SubscriberHarness) -> list[Refusal]:
+    return [r for m in harness.take_sent() if isinstance(m, Acknowledge) for r in m.refusals]
 
 
-def test_what_is_refused_is_not_confused_with_a_later_state_that_is_being_put_into_force() -> None:
-    follower = Follower()
-    follower.connect()
-    holding(follower, "t", 5)
+def test_a_refusal_does_not_carry_over_to_a_later_state_being_applied() -> None:
+    harness = SubscriberHarness()
+    harness.connect()
+    hold_tenant(harness, "t", 5)
     bad = Refusal("t", 11, "no document")
-    follower.subscriber.applied(changing(follower, 11, b"bad"), follower.now, [bad])
-    assert refusals_said(follower) == [bad]
-    batch = changing(follower, 12, b"good")
-    follower.hears(Changes([Resource("t", 13, Kind.UNCHANGED)], 13))  # after a comparison
-    follower.subscriber.applied(batch, follower.now)
-    assert not refusals_said(follower)
-
-
-def test_a_refusal_is_told_at_the_revision_that_was_found_unchanged_meanwhile() -> None:
-    follower = Follower()
-    follower.connect()
-    holding(follower, "t", 5)
-    batch = changing(follower, 11, b"bad")
-    follower.hears(Changes([Resource("t", 13, Kind.UNCHANGED)], 13))
-    follower.subscriber.applied(batch, follower.now, [Refusal("t", 11, "no document")])
-    assert refusals_said(follower) == [Refusal("t", 13, "no document")]
-
-
-def test_a_hello_names_the_newest_state_that_is_held() -> None:
-    follower = Follower()
-    follower.connect()
-    follower.hears(Progress(7))
-    holding(follower, "t", 9)
-    follower.subscriber.disconnected(follower.subscriber.attempt, follower.now)
-    follower.connect()
-    hello = [m for m in follower.said() if isinstance(m, Hello)][-1]
+    harness.subscriber.applied(receive_change(harness, 11, b"bad"), harness.now, [bad])
+    assert sent_refusals(harness) == [bad]
+    batch = receive_change(harness, 12, b"good")
+    harness.receive(Changes([Resource("t", 13, Kind.UNCHANGED)], 13))  # after a comparison
+    harness.subscriber.applied(batch, harness.now)
+    assert not sent_refusals(harness)
+
+
+def test_a_refusal_names_the_revision_at_which_the_state_was_found_unchanged() -> None:
+    harness = SubscriberHarness()
+    harness.connect()
+    hold_tenant(harness, "t", 5)
+    batch = receive_change(harness, 11, b"bad")
+    harness.receive(Changes([Resource("t", 13, Kind.UNCHANGED)], 13))
+    harness.subscriber.applied(batch, harness.now, [Refusal("t", 11, "no document")])
+    assert sent_refusals(harness) == [Refusal("t", 13, "no document")]
+
+
+def test_a_hello_names_the_newest_held_revision() -> None:
+    harness = SubscriberHarness()
+    harness.connect()
+    harness.receive(Progress(7))
+    hold_tenant(harness, "t", 9)
+    harness.subscriber.disconnected(harness.subscriber.attempt, harness.now)
+    harness.connect()
+    hello = [m for m in harness.take_sent() if isinstance(m, Hello)][-1]
     assert (hello.position, hello.newest) == (Position(EPOCH, 7), 9)
--- a/tests/distribution/test_turns.py
+++ b/tests/distribution/test_turns.py
@@ -1,4 +1,4 @@
-"""One session that is sent everything leaves the loop to all others in between."""
+"""A session that is sent everything yields to the other sessions between its messages."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 from .test_sockets import LOCAL, keys, resource, until
 
 RESOURCES = 120
-SAID_AT_ONCE = 50  # messages of another one that come in one read
-BODY = bytes(48 << 10)  # two of them are more than one message takes
+BURST_MESSAGES = 50  # messages of another subscriber that arrive in one read
+BODY = bytes(48 << 10)  # two of them exceed the size of one batch
 
 
 class CountedSource(Source):
-    """Counts messages of changes by the turn of the loop in which they are made."""
+    """Counts Changes messages by the turn of the event loop in which they are created."""
 
     turn = 0
-    made: Counter[int]
+    changes_by_turn: Counter[int]
 
     def next_message(self, number: int, now: int) -> Message | None:
         message = super().next_message(number, now)
         if isinstance(message, Changes):
-            self.made[self.turn] += 1
+            self.changes_by_turn[self.turn] += 1
         return message
 
 
@@ -41,12 +41,12 @@
         await asyncio.sleep(0)
 
 
-def held_by(replica: Replica) -> bool:
+def holds_all(replica: Replica) -> bool:
     return len(replica.entries) == RESOURCES
 
 
-class Story:
-    """A source with much to send, and one that fetches all of it."""
+class Scenario:
+    """A source with many large resources, and subscribers that fetch them."""
 
     def __init__(self) -> None:
         self.parameters = Parameters()
@@ -56,16 +56,16 @@
         self.source = CountedSource(
             replica, self.parameters, time.monotonic_ns(), is_publisher=True
         )
-        self.source.made = Counter()
+        self.source.changes_by_turn = Counter()
         self.server = SourceServer(self.source, keys, "fleet")
         self.address = ""
 
     async def start(self) -> None:
-        at = await self.server.start(LOCAL)
-        self.address = f"{at.host}:{at.port}"
+        address = await self.server.start(LOCAL)
+        self.address = f"{address.host}:{address.port}"
 
     def subscriber(self, name: str, everything: bool) -> SubscriberClient:
-        """It connects at once."""
+        """Start a subscriber, which connects at once."""
         subscriber = Subscriber(
             name,
             [self.address],
@@ -79,49 +79,49 @@
         client.start()
         return client
 
-    def check(self) -> None:
-        """The loop reads, and a timer sends, in the same turn as a turn of the server."""
-        assert sum(self.source.made.values()) >= RESOURCES // 2
-        assert max(self.source.made.values()) <= 3 * MAX_MESSAGES_PER_TURN
+    def check_turns(self) -> None:
+        """The server's turn, a read and a timer may all send in one turn of the loop."""
+        assert sum(self.source.changes_by_turn.values()) >= RESOURCES // 2
+        assert max(self.source.changes_by_turn.values()) <= 3 * MAX_MESSAGES_PER_TURN
 
 
-def test_what_fetches_everything_is_sent_a_few_messages_in_each_turn_of_the_loop() -> None:
-    """Sockets take some megabytes at once: without the bound all of it goes in one turn."""
+def test_a_full_fetch_is_sent_a_few_messages_per_turn_of_the_loop() -> None:
+    """Sockets buffer some megabytes: without the limit everything is sent in one turn."""
 
     async def main() -> None:
-        story = Story()
-        await story.start()
-        turns = asyncio.create_task(count_turns(story.source))
-        client = story.subscriber("distributor-1", everything=True)
-        await until(lambda: held_by(client.subscriber.replica))
+        scenario = Scenario()
+        await scenario.start()
+        turns = asyncio.create_task(count_turns(scenario.source))
+        client = scenario.subscriber("distributor-1", everything=True)
+        await until(lambda: holds_all(client.subscriber.replica))
         turns.cancel()
         client.stop()
-        story.server.stop()
-        story.check()
+        scenario.server.stop()
+        scenario.check_turns()
 
     asyncio.run(main())
 
 
-def test_what_others_say_meanwhile_makes_its_turns_no_more() -> None:
-    """All that came in one read is answered in one turn, whatever else is to be sent."""
+def test_a_burst_from_another_subscriber_adds_no_turns_to_a_full_fetch() -> None:
+    """All messages of one read cause a single turn, whatever else is to be sent."""
 
     async def main() -> None:
-        story = Story()
-        await story.start()
-        talker = story.subscriber("node-1", everything=False)
-        await until(lambda: talker.connected)
-        turns = asyncio.create_task(count_turns(story.source))
-        client = story.subscriber("distributor-1", everything=True)
-        while not story.source.made:
+        scenario = Scenario()
+        await scenario.start()
+        chatty_client = scenario.subscriber("node-1", everything=False)
+        await until(lambda: chatty_client.connected)
+        turns = asyncio.create_task(count_turns(scenario.source))
+        client = scenario.subscriber("distributor-1", everything=True)
+        while not scenario.source.changes_by_turn:
             await asyncio.sleep(0)
-        assert talker._stream is not None
-        for _ in range(SAID_AT_ONCE):
-            talker._stream.send(Acknowledge(0))
-        await until(lambda: held_by(client.subscriber.replica))
+        assert chatty_client._stream is not None
+        for _ in range(BURST_MESSAGES):
+            chatty_client._stream.send(Acknowledge(0))
+        await until(lambda: holds_all(client.subscriber.replica))
         turns.cancel()
-        for one in (client, talker):
-            one.stop()
-        story.server.stop()
-        story.check()
+        for each in (client, chatty_client):
+            each.stop()
+        scenario.server.stop()
+        scenario.check_turns()
 
     asyncio.run(main())
