--- a/tansywood/distribution/source.py
+++ b/tansywood/distribution/source.py
@@ -558,7 +558,7 @@
 
     def _on_versions(self, session: Session, versions: Versions) -> None:
         if not session.comparing:
-            raise ProtocolError("versions that nobody asked for")
+            raise ProtocolError("versions although no comparison is open")
         if session.open_comparisons > 1:  # this list answers an earlier welcome
             session.open_comparisons -= versions.last
             return
--- a/tests/distribution/test_sealing.py
+++ b/tests/distribution/test_sealing.py
@@ -175,8 +175,8 @@
     "truncated": (truncated, "truncated"),
     "unsealed": (unsealed, "version"),
     "oversize": (oversize, "oversize"),
-    "said twice": (sent_twice, "replay"),
-    "recorded": (replayed_connection, "forged"),
+    "sent twice": (sent_twice, "replay"),
+    "replayed connection": (replayed_connection, "forged"),
 }
 
 
@@ -263,16 +263,23 @@
 DISABLED_CHECKS: dict[str, tuple[Patch, set[str]]] = {
     "the seal's bounds": (
         (stream_module, "Seal", UnboundSeal),
-        {"another fleet", "recorded"},
+        {"another fleet", "replayed connection"},
     ),
     "counters": (
         (seal_module._Window, "fresh", lambda _self, _counter: True),
-        {"said twice"},
+        {"sent twice"},
     ),
     "the length": ((stream_module, "MAX_SEALED_BYTES", 1 << 32), {"oversize"}),
     "seals": (
         (stream_module, "SealedStream", UnsealedStream),
-        {"another key", "another fleet", "altered", "unsealed", "said twice", "recorded"},
+        {
+            "another key",
+            "another fleet",
+            "altered",
+            "unsealed",
+            "sent twice",
+            "replayed connection",
+        },
     ),
     "counting": (
         (stream_module, "SealedStream", UncountedStream),
