--- a/standins/fleet/leaseworld.py
+++ b/standins/fleet/leaseworld.py
@@ -110,13 +110,13 @@
         place.inbox.clear()
         if blank:
             place.disk = None
-        if client.votes:
+        if client.should_vote:
             self.mount(place)
         self.know()
         for lease in self.common:
-            client.placement.names.add(lease)
-            client.placement.common.add(lease)
-        client.choose(self.clock(place))
+            client.placement.wanted_names.add(lease)
+            client.placement.shared_names.add(lease)
+        client.update_wanted(self.clock(place))
         self.look_at(place, self.now)
 
     def mount(self, place: Place) -> None:
@@ -151,7 +151,9 @@
         for place in self.places.values():
             if place.client is not None:
                 known = {n: replace(r, since=-60 * SECOND) for n, r in place.client.peers.items()}
-                place.client.know(self.clock(place), known | rows, place.client.placement.draining)
+                place.client.update_members(
+                    self.clock(place), known | rows, place.client.placement.draining
+                )
                 for gone in known.keys() - rows.keys():
                     place.client.peers[gone] = replace(known[gone], accepts_leases=False)
 
@@ -160,9 +162,9 @@
         self.common = (*self.common, *names)
         for place in self.places.values():
             if place.client is not None:
-                place.client.placement.names.update(self.common)
-                place.client.placement.common.update(self.common)
-                place.client.choose(self.clock(place))
+                place.client.placement.wanted_names.update(self.common)
+                place.client.placement.shared_names.update(self.common)
+                place.client.update_wanted(self.clock(place))
                 self.look_at(place, self.now)
 
     # ---- one instance --------------------------------------------------------------------------
@@ -183,10 +185,10 @@
     def flush(self, place: Place) -> None:
         client = place.client
         assert client is not None
-        client.lost(self.clock(place))
-        if client.aside:
-            client.stop_voter(self.clock(place), client.aside)
-            client.aside = ""
+        client.take_lost(self.clock(place))
+        if client.disk_rejection_reason:
+            client.stop_voter(self.clock(place), client.disk_rejection_reason)
+            client.disk_rejection_reason = ""
             place.disk = None
             self.mount(place)
         voter = client.voter
@@ -267,7 +269,7 @@
             if client is None:
                 continue
             for name in client.holder.leases:
-                token = client.may(self.clock(place), name)
+                token = client.usable_token(self.clock(place), name)
                 if not token:
                     continue
                 if name in acting:
@@ -289,7 +291,7 @@
         for place in self.places.values():
             if place.client is not None and not place.stopped:
                 for name in place.client.holder.leases:
-                    if place.client.may(self.clock(place), name):
+                    if place.client.usable_token(self.clock(place), name):
                         found[name] = place.name
         return found
 
--- a/tansywood/lease/client.py
+++ b/tansywood/lease/client.py
@@ -34,7 +34,7 @@
 )
 from tansywood.lease.placement import Placement
 from tansywood.lease.raft import LEADER, MS, Timing
-from tansywood.lease.spread import Waiting
+from tansywood.lease.spread import Waitlist
 from tansywood.lease.table import TableChange
 from tansywood.lease.terms import LeaseTerms
 from tansywood.lease.voter import Voter
@@ -59,16 +59,16 @@
         self.context = Context(name, life, tuple(voters), terms, rng)
         self.timing = timing or Timing()
         self.voter: Voter | None = None
-        self.down = ""  # why there is no voter, where there should be one
-        self.aside = ""  # why our disk is to be put aside for a blank one
+        self.voter_down_reason = ""  # why there is no voter, where there should be one
+        self.disk_rejection_reason = ""  # why our disk is to be put aside for a blank one
         self.exchange = Exchange(self.context, self._take)
         self.admission = Admission(self.context)
         self.electorate = Electorate(self.context, self._send)
         self.holding = Holding(self.context, self._send_request)
         self.placement = Placement(self.context)
-        self.waiting = Waiting(WAITING_FOR * terms.renew_interval_ns)
+        self.waitlist = Waitlist(WAITING_FOR * terms.renew_interval_ns)
         self.table: tuple[tuple[str, str, int], ...] = ()  # at one that does not vote: as told last
-        self.table_at = -1
+        self.table_received_at = -1
         self._next_tend = 0
         self._role = ""
 
@@ -103,7 +103,7 @@
         self.context.wanted_voters = names
 
     @property
-    def votes(self) -> bool:
+    def should_vote(self) -> bool:
         """Whether the settings want this instance to vote."""
         return self.context.name in self.context.wanted_voters
 
@@ -137,22 +137,22 @@
     def start_voter(self, now: int, kept: DiskContents) -> None:
         """With what lies on its disk."""
         self.voter = Voter(kept, self.terms, self.timing, self.context.rng, now)
-        self.down = ""
-        self.aside = ""
+        self.voter_down_reason = ""
+        self.disk_rejection_reason = ""
         self.electorate.announce_at = now
         self.events.add(now, f"votes as {kept.id}, {kept.saves} saves, term {kept.saved.term}")
 
     def stop_voter(self, now: int, why: str) -> None:
         """Its disk is away or can't be gone by: it is as if it had crashed."""
         self.voter = None
-        self.down = why
-        self.waiting = Waiting(WAITING_FOR * self.terms.renew_interval_ns)
+        self.voter_down_reason = why
+        self.waitlist = Waitlist(WAITING_FOR * self.terms.renew_interval_ns)
         self.events.add(now, f"votes no more: {why}")
 
     def found(self, now: int, group: str) -> str:
         """Begin a group of voters with this one alone; says why not, or nothing."""
         if self.voter is None:
-            return f"no voter here: {self.down or 'the settings name others'}"
+            return f"no voter here: {self.voter_down_reason or 'the settings name others'}"
         return self._alone(
             now, founding.found(self.voter, group, self.electorate.find_known_group())
         )
@@ -176,7 +176,7 @@
 
     # ---- who is there, and what is to be done here ---------------------------------------------
 
-    def know(self, now: int, peers: Mapping[str, Peer], draining: bool = False) -> None:
+    def update_members(self, now: int, peers: Mapping[str, Peer], draining: bool = False) -> None:
         """Who is there, as the fleet knows it, and whether we are told to drain."""
         changed = {n: (p.accepts_leases, p.is_unsuspected) for n, p in peers.items()} != {
             n: (p.accepts_leases, p.is_unsuspected) for n, p in self.peers.items()
@@ -186,25 +186,25 @@
             self.placement.draining = draining
             changed = True
         if changed:
-            self.choose(now)
+            self.update_wanted(now)
 
-    def want(self, now: int, name: str, everybody: bool = False) -> None:
+    def request_lease(self, now: int, name: str, everybody: bool = False) -> None:
         """Somebody here would do this. `everybody`: all instances would, and one should be first
         for it, so this one asks only if it is among the first few."""
-        self.placement.names.add(name)
+        self.placement.wanted_names.add(name)
         if everybody:
-            self.placement.common.add(name)
-        self.choose(now)
+            self.placement.shared_names.add(name)
+        self.update_wanted(now)
 
-    def unwant(self, now: int, name: str) -> None:
+    def release_lease(self, now: int, name: str) -> None:
         """No more: it is given back."""
-        self.placement.names.discard(name)
-        self.placement.common.discard(name)
+        self.placement.wanted_names.discard(name)
+        self.placement.shared_names.discard(name)
         self.holding.give_back(name)
-        self.choose(now)
+        self.update_wanted(now)
         self.holding.ask_soon(now)
 
-    def choose(self, now: int) -> None:
+    def update_wanted(self, now: int) -> None:
         """Look anew at what to ask for."""
         self.holding.want(now, self.placement.to_ask_for(now))
 
@@ -231,7 +231,7 @@
             return
         if isinstance(message, LOG_MESSAGES):
             ours, aside = self.admission.check_group(self.voter, fragment, message)
-            self.aside = aside or self.aside
+            self.disk_rejection_reason = aside or self.disk_rejection_reason
             if not ours:
                 return
         if isinstance(message, VoterAnnouncement):
@@ -263,7 +263,7 @@
                 self.holding.ask_soon(now)
         elif isinstance(message, TableReply):
             self.table = message.rows
-            self.table_at = now
+            self.table_received_at = now
         elif self.voter is None:
             return
         elif isinstance(message, LeaseRequest):
@@ -274,7 +274,9 @@
         elif isinstance(message, DiskBehind):
             if to == self.voter.id and message.saves > self.voter.kept.saves:
                 saves = self.voter.kept.saves
-                self.aside = f"its disk has {saves} saves, others know of {message.saves}"
+                self.disk_rejection_reason = (
+                    f"its disk has {saves} saves, others know of {message.saves}"
+                )
         elif isinstance(message, TableQuery):
             rows = self.voter.service.table.leases
             held = tuple((n, le.holder, le.token) for n, le in sorted(rows.items()))
@@ -288,9 +290,9 @@
         if not voter.leads:
             return
         for lost, _, _ in ask.release:
-            self.waiting.rows.get(lost, {}).pop(ask.holder, None)
+            self.waitlist.rows.get(lost, {}).pop(ask.holder, None)
         table = voter.service.table.leases
-        self.waiting.heard(now, ask.holder, [n for n in ask.acquire if n in table])
+        self.waitlist.heard(now, ask.holder, [n for n in ask.acquire if n in table])
 
     def flush(self, now: int) -> None:
         """Send what may go, grant what has become free."""
@@ -307,27 +309,29 @@
 
     def _grant_freed(self, now: int, voter: Voter, changes: list[TableChange]) -> None:
         freed = [name for change in changes for name in change.freed]
-        waited = {w.ask.holder for w in voter.service.waits}
+        waited = {w.ask.holder for w in voter.service.pending_requests}
         for holder in {h for change in changes for _, h in change.granted} - waited:
             # It has not asked just now: it hears of what it has when it does.
             self._send(now, holder, GrantNotice())
         table = voter.service.table
         free = [name for name in freed if name not in table.leases]
-        rows = self.waiting.assign(now, free, {h: len(n) for h, n in table.names_by_holder.items()})
+        rows = self.waitlist.assign(
+            now, free, {h: len(n) for h, n in table.names_by_holder.items()}
+        )
         if rows:
             voter.grant(now, rows)
 
     # ---- what is held --------------------------------------------------------------------------
 
-    def may(self, now: int, name: str) -> int:
+    def usable_token(self, now: int, name: str) -> int:
         """The token to act with; 0 where it may not."""
-        return self.holder.may(now, name)
+        return self.holder.usable_token(now, name)
 
-    def lost(self, now: int) -> list[str]:
+    def take_lost(self, now: int) -> list[str]:
         """Names that were held and may not be acted on any more."""
-        names = self.holding.lost(now)
+        names = self.holding.take_lost(now)
         if names:
-            self.choose(now)
+            self.update_wanted(now)
             self.holding.ask_soon(now)
         return names
 
@@ -335,7 +339,7 @@
         """Give a lease to another instance, or to whoever asked for it; says why not."""
         return self.holding.hand_over(now, name, to)
 
-    def question(self, now: int) -> None:
+    def query_table(self, now: int) -> None:
         """Ask the voters who holds what."""
         for name in self.wanted_voters:
             self.send(now, self.holder.name, name, TableQuery())
@@ -346,7 +350,7 @@
         for name, to in moves.items():
             self.hand_over(now, name, to)
         if moves or self.placement.draining:
-            self.choose(now)
+            self.update_wanted(now)
 
     # ---- time ----------------------------------------------------------------------------------
 
@@ -368,10 +372,10 @@
         if now >= self._next_tend:
             self._next_tend = now + TEND_EVERY
             if voter is not None and voter.leads:
-                self.waiting.sweep(now)
+                self.waitlist.sweep(now)
                 self.electorate.update_voters(now, voter)
-            if self.placement.prefers:
-                self.choose(now)
+            if self.placement.home_addresses:
+                self.update_wanted(now)
             self._move(now)
         if now >= self.holding.next_ask:
             self.holding.ask(now)
@@ -387,24 +391,24 @@
             self.events.add(now, role or "leads no more")
             self._role = role
 
-    def leave(self, now: int) -> None:
+    def release_all(self, now: int) -> None:
         """At an orderly end: everything is given back now, to who is the first for it."""
         leases = list(self.holder.leases)
         for name, to in self.placement.all_moves(now, leases, self.holding.deaf).items():
             self.hand_over(now, name, to)
         for name in list(self.holder.leases):
             self.hand_over(now, name)
-        self.placement.names.clear()
-        self.placement.common.clear()
-        self.holder.want = set()
+        self.placement.wanted_names.clear()
+        self.placement.shared_names.clear()
+        self.holder.wanted_names = set()
         self.holding.ask(now)
         self.flush(now)
 
     # ---- telling people ------------------------------------------------------------------------
 
-    def why(self, now: int, name: str) -> list[str]:
+    def explain_holder(self, now: int, name: str) -> list[str]:
         """Who has a lease, or why nobody has, in sentences."""
-        return status.why(self, now, name)
+        return status.explain_holder(self, now, name)
 
     def status(self, now: int) -> dict[str, Any]:
         """Of JSON's types."""
--- a/tansywood/lease/fence.py
+++ b/tansywood/lease/fence.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 
-class Refused(Exception):
+class StaleToken(Exception):
     """An act under a token that is older than one that has acted already."""
 
 
@@ -17,10 +17,10 @@
         self.newest = newest if newest is not None else {}
 
     def check(self, name: str, token: int, kept: Callable[[], None] = lambda: None) -> None:
-        """Let an act under this token through, or raise Refused. `kept` makes a newer token last
+        """Let an act under this token through, or raise StaleToken. `kept` makes a newer token last
         before anything is done under it."""
         if token <= 0 or token < self.newest.get(name, 0):
-            raise Refused(f"{name}: token {token} is older than {self.newest.get(name, 0)}")
+            raise StaleToken(f"{name}: token {token} is older than {self.newest.get(name, 0)}")
         if token > self.newest.get(name, 0):
             self.newest[name] = token
             kept()
--- a/tansywood/lease/holding.py
+++ b/tansywood/lease/holding.py
@@ -28,7 +28,7 @@
     def next_due(self) -> int:
         """When to ask, or when what is held is over."""
         if self.holder.leases:
-            return min(self.next_ask, self.holder.until)
+            return min(self.next_ask, self.holder.valid_until)
         return self.next_ask
 
     def ask_soon(self, now: int) -> None:
@@ -39,21 +39,21 @@
         """These are to be asked for. What is held stays wanted until it is handed over, so that
         nobody has a gap."""
         wanted = names | set(self.holder.leases)
-        if wanted - self.holder.want:
+        if wanted - self.holder.wanted_names:
             self.ask_soon(now)
-        self.holder.want = wanted
+        self.holder.wanted_names = wanted
 
     def ask(self, now: int) -> None:
         """Renew what is held and ask for what is wanted, if there is any."""
         holder, terms, rng = self.holder, self._context.terms, self._context.rng
         self._last_ask = now
         self.next_ask = now + terms.renew_interval_ns
-        if not (holder.want or holder.leases or holder.giving):
+        if not (holder.wanted_names or holder.leases or holder.returning):
             return
         # Where the last request was not answered whoever led may be gone: everybody is asked, and
         # soon again, but not by all at once.
-        known = self.leader and holder.heard == holder.seq
-        ask = holder.ask(now)
+        known = self.leader and holder.last_answered_seq == holder.seq
+        ask = holder.next_request(now)
         self._context.counts["asks"] += 1
         if not known:
             self.next_ask = now + int(terms.renew_interval_ns * (0.1 + 0.1 * rng.random()))
@@ -78,9 +78,9 @@
                     self.got[name] = (token, now)
                     self._context.events.add(now, f"holds {name} by token {token}")
 
-    def lost(self, now: int) -> list[str]:
+    def take_lost(self, now: int) -> list[str]:
         """Names that were held and may not be acted on any more."""
-        names = self.holder.expire(now)
+        names = self.holder.take_lost(now)
         for name in names:
             if self.got.pop(name, None) is not None:
                 self._context.events.add(now, f"holds {name} no more")
@@ -88,7 +88,7 @@
 
     def give_back(self, name: str) -> None:
         """Nobody here wants it any more."""
-        self.holder.give(name)
+        self.holder.give_back(name)
         self.got.pop(name, None)
 
     def hand_over(self, now: int, name: str, to: str = "") -> str:
@@ -98,8 +98,8 @@
         peer = self._context.peers.get(to)
         if to and (peer is None or not peer.accepts_leases):
             return f"{to} is no member that works"
-        self.holder.give(name, holder_id(to, peer.life) if peer is not None else "")
-        self.holder.lost.append(name)  # whoever acts on it here has to end
+        self.holder.give_back(name, holder_id(to, peer.life) if peer is not None else "")
+        self.holder.lost_names.append(name)  # whoever acts on it here has to end
         self.got.pop(name, None)
         self._context.events.add(now, f"hands {name} over to {to or 'whoever asked'}")
         self.ask_soon(now)
--- a/tansywood/lease/placement.py
+++ b/tansywood/lease/placement.py
@@ -22,9 +22,11 @@
     """What would be done at one instance, and where each lease belongs."""
 
     def __init__(self, context: Context) -> None:
-        self.names: set[str] = set()  # tasks that somebody here would do
-        self.common: set[str] = set()  # of them, those that every instance would do
-        self.prefers: dict[str, str] = {}  # the address at which a lease belongs, if it is there
+        self.wanted_names: set[str] = set()  # tasks that somebody here would do
+        self.shared_names: set[str] = set()  # of them, those that every instance would do
+        self.home_addresses: dict[
+            str, str
+        ] = {}  # the address at which a lease belongs, if it is there
         self.ranking = Ranking()
         self.draining = False
         self._context = context
@@ -38,23 +40,23 @@
 
     def to_ask_for(self, now: int) -> set[str]:
         """Leases that this instance should have, or wait for."""
-        ours = (self.names - self.common) if not self.draining else set()
-        if self.common:
+        ours = (self.wanted_names - self.shared_names) if not self.draining else set()
+        if self.shared_names:
             there = [p.name for p in self._context.peers.values() if p.accepts_leases]
-            self.ranking.update(self.common, there)
+            self.ranking.update(self.shared_names, there)
             near = self.ranking.near(self._context.name)
-            ours |= near - self.prefers.keys()
-            ours |= {n for n in self.prefers if self._stands_in(now, n, n in near)}
+            ours |= near - self.home_addresses.keys()
+            ours |= {n for n in self.home_addresses if self._stands_in(now, n, n in near)}
         return ours
 
     def _stands_in(self, now: int, name: str, near: bool) -> bool:
         """Whether to ask for what belongs to one of the instances: that one always does, the first
         few others while it is away. Every move of such a lease costs more than where it is."""
-        if self.draining or name not in self.common:
+        if self.draining or name not in self.shared_names:
             return False
-        if self.prefers[name] == self._context.address(self._context.name):
+        if self.home_addresses[name] == self._context.address(self._context.name):
             return True
-        owner = [p for p in self._context.peers.values() if p.address == self.prefers[name]]
+        owner = [p for p in self._context.peers.values() if p.address == self.home_addresses[name]]
         away = not any(p.accepts_leases and p.is_unsuspected for p in owner)
         return near and away and now - self._born >= STAND_IN
 
@@ -67,7 +69,7 @@
         if now < self._next_move:
             return {}
         self._next_move = now + MOVE_EVERY
-        mine = [n for n in held if n in self.common]
+        mine = [n for n in held if n in self.shared_names]
         rows = sorted(self._misplaced(mine, self._settled(now, deaf)).items())
         return dict(rows[: -(-len(rows) // MOVE_DIVISOR)])
 
@@ -90,11 +92,11 @@
         """Of these, what belongs to another of the members, and to whom."""
         me = self._context.name
         at = {self._context.address(member): member for member in members}
-        found = misplaced([n for n in names if n not in self.prefers], members, me)
+        found = misplaced([n for n in names if n not in self.home_addresses], members, me)
         for name in names:
-            owner = at.get(self.prefers.get(name, ""), me)
+            owner = at.get(self.home_addresses.get(name, ""), me)
             if owner != me:
                 found[name] = owner
-            elif self.draining and name in self.prefers:
+            elif self.draining and name in self.home_addresses:
                 found |= misplaced([name], members, me)
         return found
--- a/tansywood/lease/spread.py
+++ b/tansywood/lease/spread.py
@@ -59,7 +59,7 @@
     return {name: first for name, first in found.items() if first != me}
 
 
-class Waiting:
+class Waitlist:
     """Who asked for what another has, at the voter that leads."""
 
     def __init__(self, patience: int) -> None:
--- a/tansywood/lease/status.py
+++ b/tansywood/lease/status.py
@@ -12,12 +12,12 @@
     from tansywood.lease.client import LeaseClient
 
 
-def why(client: LeaseClient, now: int, name: str) -> list[str]:
+def explain_holder(client: LeaseClient, now: int, name: str) -> list[str]:
     """Who has a lease, or why nobody has, in sentences."""
     voter = client.voter
     if voter is None:
-        if client.votes:
-            return [f"no voter here: {client.down or 'its disk is being read'}"]
+        if client.should_vote:
+            return [f"no voter here: {client.voter_down_reason or 'its disk is being read'}"]
         return ["this instance does not vote: ask one of " + ", ".join(client.wanted_voters)]
     if not voter.group:
         return [
@@ -27,7 +27,7 @@
     sentences = _about_leader(voter, now)
     row = voter.service.table.leases.get(name)
     if row is None:
-        asked = ", ".join(client.waiting.rows.get(name, {}))
+        asked = ", ".join(client.waitlist.rows.get(name, {}))
         sentences.append(
             f"nobody holds {name}; "
             + (f"asked by {asked}" if asked else "nobody asked for it lately")
@@ -36,7 +36,7 @@
     since = (now - voter.granted_at.get(name, now)) / SECOND
     sentences.append(f"{row.holder} holds {name} by token {row.token}, for {since:.1f} s here")
     if voter.leads:
-        left = (voter.service.ends.get(row.holder, now) - now) / SECOND
+        left = (voter.service.expiries.get(row.holder, now) - now) / SECOND
         sentences.append(f"it may be ended in {max(left, 0):.1f} s unless it renews")
     return sentences
 
@@ -63,17 +63,17 @@
         "holder": holder.name,
         "wanted_voters": list(client.wanted_voters),
         "length_ms": client.terms.duration_ns // MS,
-        "down": client.down,
+        "down": client.voter_down_reason,
         "held": [
             {
                 "name": name,
                 "token": token,
                 "for_s": round((now - client.holding.got.get(name, (0, now))[1]) / SECOND, 1),
-                "left_s": round((holder.until - now) / SECOND, 2),
+                "left_s": round((holder.valid_until - now) / SECOND, 2),
             }
             for name, token in sorted(holder.leases.items())
         ],
-        "asks_for": sorted(holder.want - set(holder.leases)),
+        "asks_for": sorted(holder.wanted_names - set(holder.leases)),
         "counts": dict(client.counts),
         "events": [
             {"ago_s": round((now - at) / SECOND, 1), "what": what} for at, what in client.events
--- a/tansywood/lease/voter.py
+++ b/tansywood/lease/voter.py
@@ -44,7 +44,7 @@
         self.service = LeaseService(
             Raft(kept.id, kept.saved, timing, rng, now), terms, snapshot_every
         )
-        self.service.changed = self._changed
+        self.service.on_change = self._changed
         self.changes: list[TableChange] = []
         self.granted_at: dict[str, int] = {}  # when each lease was seen to be granted
         self._now = now
@@ -88,13 +88,13 @@
         """A message of another voter."""
         self._now = now
         self.raft.receive(now, sender, message)
-        self.service.after(now)
+        self.service.queue_due_replies(now)
         self._collect(now)
 
     def receive_request(self, now: int, ask: LeaseRequest) -> None:
         """A holder's ask."""
         self._now = now
-        self.service.ask(now, ask.holder, ask)
+        self.service.handle_request(now, ask.holder, ask)
         self._collect(now)
 
     def tick(self, now: int) -> None:
@@ -130,7 +130,7 @@
     def _collect(self, now: int) -> None:
         while True:
             out = self.service.take(now)
-            answers, self.service.answers = self.service.answers, []
+            answers, self.service.replies = self.service.replies, []
             if out.saved is not None:
                 self._unsaved = out.saved
             sends: list[Send] = [*out.sends, *answers]
--- a/tansywood/service/fleet.py
+++ b/tansywood/service/fleet.py
@@ -197,7 +197,7 @@
     def may_grant(self, index: int) -> bool:
         """Whether we hold the lease of an allocator's slice."""
         assert self.leases is not None
-        return self.leases.client.may(self.clock.now(), allocator_lease(index)) != 0
+        return self.leases.client.usable_token(self.clock.now(), allocator_lease(index)) != 0
 
     async def keep_allocating(self, leases: Leases, index: int) -> None:
         """Grant of an allocator's slice whenever we hold its lease. Cut off half way it ends with
@@ -205,7 +205,7 @@
         from tansywood.service.leases import LeaseLost
 
         name = allocator_lease(index)
-        leases.client.placement.prefers[name] = self.settings.first[index]
+        leases.client.placement.home_addresses[name] = self.settings.first[index]
         while True:
             with contextlib.suppress(LeaseLost):
                 async with leases.lease(name, everybody=True):
--- a/tansywood/service/leases.py
+++ b/tansywood/service/leases.py
@@ -48,13 +48,13 @@
 
     def check(self) -> int:
         """The token, if this may be acted on now; LeaseLost."""
-        if self.leases.client.may(self.leases.clock.now(), self.name) != self.token:
+        if self.leases.client.usable_token(self.leases.clock.now(), self.name) != self.token:
             raise LeaseLost(self.name)
         return self.token
 
     def until(self) -> int:
         """When it is over unless it is renewed, on the machine's own monotonic clock."""
-        left = self.leases.client.holder.until - self.leases.clock.now()
+        left = self.leases.client.holder.valid_until - self.leases.clock.now()
         return self.leases.clock.real(left)
 
 
@@ -100,7 +100,7 @@
 
     def start(self) -> None:
         """Open the disk, where this instance votes."""
-        if self.client.votes:
+        if self.client.should_vote:
             self.spawn(self.disk.open())
 
     # ---- the network and time ----------------------------------------------------------------
@@ -116,7 +116,7 @@
             r = m.update
             works = m.present and not r.drains
             peers[name] = Peer(name, r.address, r.life, m.since, works, m.state == State.ALIVE)
-        self.client.know(now, peers, members.own.drains)
+        self.client.update_members(now, peers, members.own.drains)
 
     def received(self, name: str, life: bytes, data: bytes) -> None:
         """What another instance's lease client sent."""
@@ -136,13 +136,13 @@
         """Do what is to be done by now: write, send, end and begin tasks, print."""
         now = self.clock.now()
         client = self.client
-        for name in client.lost(now):
+        for name in client.take_lost(now):
             for task in list(self._bodies.get(name, ())):
                 task.cancel()
         voter = client.voter
         if voter is not None and self.disk.store is not None:
-            if client.aside:
-                why, client.aside = client.aside, ""
+            if client.disk_rejection_reason:
+                why, client.disk_rejection_reason = client.disk_rejection_reason, ""
                 self.spawn(self.disk.begin_anew(why))
             elif (batch := voter.next_write()) is not None:
                 self.spawn(self.disk.write(batch))
@@ -151,7 +151,7 @@
         for text in client.events.take_fresh():
             self.log(f"lease: {now / SECOND:.2f} {text}")
         for name, events in list(self._waiting.items()):
-            if client.may(now, name):
+            if client.usable_token(now, name):
                 for event in events:
                     event.set()
         self.wake(client.next_due())
@@ -167,7 +167,7 @@
         for tasks in self._bodies.values():
             for task in tasks:
                 task.cancel()
-        self.client.leave(self.clock.now())
+        self.client.release_all(self.clock.now())
         self.flush()
         await asyncio.sleep(0.05)  # a last write, and what stands behind it
         await self.disk.close()
@@ -181,10 +181,10 @@
         spreads such leases over its members."""
         there = asyncio.Event()
         self._waiting.setdefault(name, []).append(there)
-        self.client.want(self.clock.now(), name, everybody)
+        self.client.request_lease(self.clock.now(), name, everybody)
         self.tick()
         try:
-            while not (token := self.client.may(self.clock.now(), name)):
+            while not (token := self.client.usable_token(self.clock.now(), name)):
                 there.clear()
                 await there.wait()
             task = asyncio.current_task()
@@ -195,7 +195,7 @@
             try:
                 yield held
             except asyncio.CancelledError:
-                if self.client.may(self.clock.now(), name) == token or self.ending:
+                if self.client.usable_token(self.clock.now(), name) == token or self.ending:
                     raise
                 task.uncancel()
                 raise LeaseLost(name) from None
@@ -206,7 +206,7 @@
             if not self._waiting[name]:
                 del self._waiting[name]
                 self._bodies.pop(name, None)
-                self.client.unwant(self.clock.now(), name)
+                self.client.release_lease(self.clock.now(), name)
                 self.tick()
 
     async def keep_for(
@@ -255,10 +255,10 @@
     async def _ask_a_voter(self) -> None:
         """What all hold, where no voter here knows it: as a voter says, or as it said before."""
         began = self.clock.now()
-        self.client.question(began)
+        self.client.query_table(began)
         self.flush()
         for _ in range(20):
-            if self.client.table_at >= began:
+            if self.client.table_received_at >= began:
                 return
             await asyncio.sleep(0.025)
 
@@ -269,7 +269,7 @@
         now = self.clock.now()
         error = ""
         if what == "why":
-            return {"why": self.client.why(now, name)}
+            return {"why": self.client.explain_holder(now, name)}
         if what == "hand-over":
             error = self.client.hand_over(now, name, to)
         elif what == "found":
--- a/tansywood/service/voterdisk.py
+++ b/tansywood/service/voterdisk.py
@@ -48,7 +48,7 @@
             try:
                 kept, self.store = await self._open()
             except (OSError, StoreError, DiskError, ValueError) as err:
-                if self._client.down != str(err):
+                if self._client.voter_down_reason != str(err):
                     self._client.stop_voter(self._clock.now(), str(err))
                     self._flush()
                 await asyncio.sleep(DISK_AGAIN_S)
--- a/tansywood/verify/identity.py
+++ b/tansywood/verify/identity.py
@@ -40,25 +40,25 @@
         tuple(sorted(r.next_index.items())),
         # Only whether what is waited for is confirmed: rounds to come are later ones.
         tuple(
-            (v, sum(at >= w.round for w in k.waits))
+            (v, sum(at >= w.round for w in k.pending_requests))
             for v, at in sorted(r.acknowledged_round.items())
         ),
         r.first_own_index,
         r.elected_at,
-        tuple(sorted((h, max(e - clock, 0)) for h, e in k.ends.items())),
-        k._led,
-        k._floor,
+        tuple(sorted((h, max(e - clock, 0)) for h, e in k.expiries.items())),
+        k._led_term,
+        k._earliest_expiry,
         tuple(sorted(k._ending.items())),
         tuple(sorted(k._taking.items())),
-        tuple(sorted(k._asked.items())),
+        tuple(sorted(k._latest_seq.items())),
         tuple(sorted((h, s, clock - at, clock - a) for h, (s, at, a) in k._unheard.items())),
-        tuple((w.sender, w.ask, w.round, w.index, w.term) for w in k.waits),
+        tuple((w.sender, w.ask, w.round, w.index, w.term) for w in k.pending_requests),
         r.round,
     )
 
 
 def _holder_key(h: Holder, now: int) -> Hashable:
     return (
-        h.seq, h.heard, max(h.until - now, 0), tuple(sorted(h.leases.items())),
+        h.seq, h.last_answered_seq, max(h.valid_until - now, 0), tuple(sorted(h.leases.items())),
         tuple((seq, now - at) for seq, at in h._sent if now - at <= h.terms.holder_duration_ns),
     )  # fmt: skip
--- a/tansywood/verify/leases.py
+++ b/tansywood/verify/leases.py
@@ -78,7 +78,7 @@
             (),
         )
         for holder in world.holders.values():
-            holder.want.add(LEASE)
+            holder.wanted_names.add(LEASE)
         if not self.bounds.led:
             return world
         first, second = self.names[0], self.names[-1]
@@ -115,10 +115,10 @@
     def _hold(self, world: World, first: str) -> World:
         """A has just asked for the lease, was answered, and nothing else is on its way."""
         holder = fork_holder(world.holders[self.people[0]])
-        ask = holder.ask(0)
+        ask = holder.next_request(0)
         world.holders = {**world.holders, holder.name: holder}
-        world = self.settle(self.act(world, first, lambda k: k.ask(0, holder.name, ask)))
-        assert world.holders[holder.name].may(0, LEASE)
+        world = self.settle(self.act(world, first, lambda k: k.handle_request(0, holder.name, ask)))
+        assert world.holders[holder.name].usable_token(0, LEASE)
         return world
 
     # ---- moves -----------------------------------------------------------------------------------
@@ -135,7 +135,7 @@
             if out.saved is not None:
                 made.kept = {**made.kept, name: self.keep(world.kept[name], out.saved)}
             net.update((name, to, message) for to, message in out.sends)
-            answers, service.answers = service.answers, []
+            answers, service.replies = service.replies, []
             net.update((name, to, reply) for to, reply in answers)
             for index, entry in out.committed:
                 made.log = self._commit(made, index, entry)
@@ -170,7 +170,7 @@
             made.holders = {**world.holders, b: holder}
             return made
         if isinstance(what, LeaseRequest):
-            return self.act(world, b, lambda k: k.ask(world.clock, a, what))
+            return self.act(world, b, lambda k: k.handle_request(world.clock, a, what))
         late = LATE if isinstance(what, PreVoteRequest | VoteRequest) else world.clock
 
         def receive(service: LeaseService) -> None:
@@ -179,7 +179,7 @@
             # A time that was only said for the votes' sake is nobody's time.
             if late == LATE:
                 service.raft.elected_at = min(service.raft.elected_at, world.clock)
-            service.after(world.clock)
+            service.queue_due_replies(world.clock)
 
         return self.act(world, b, receive)
 
@@ -255,7 +255,7 @@
             made = copy(world)
             saved = world.kept[name]
             service = self._voter(name, saved, world.clock)
-            service._ticked = world.clock
+            service._last_tick_at = world.clock
             made.voters = {**world.voters, name: service}
             made.spent = replace(world.spent, crashes=world.spent.crashes + 1)
             return made
@@ -276,13 +276,13 @@
             due = [
                 h
                 for h in service.table.names_by_holder
-                if h not in service._ending and world.clock >= service.ends.get(h, 0)
+                if h not in service._ending and world.clock >= service.expiries.get(h, 0)
             ]
             if not due:
                 return None
 
             def tick(k: LeaseService) -> None:
-                k._ticked = world.clock
+                k._last_tick_at = world.clock
                 k.raft.due = LATE  # heartbeats are a move of their own
                 k.raft.last_heard_at = dict.fromkeys(k.raft.last_heard_at, world.clock)
                 k.tick(world.clock)
@@ -295,7 +295,7 @@
         def go() -> World:
             made = copy(world)
             one = fork_holder(world.holders[holder])
-            ask = one.ask(self.time_of(world, holder))
+            ask = one.next_request(self.time_of(world, holder))
             made.holders = {**world.holders, holder: one}
             made.net = world.net | {(holder, name, ask)}
             asks = list(world.spent.asks)
@@ -323,7 +323,7 @@
         acting = [
             (token, name)
             for name, holder in world.holders.items()
-            if (token := holder.may(self.time_of(world, name), LEASE))
+            if (token := holder.usable_token(self.time_of(world, name), LEASE))
         ]
         if len(acting) > 1:
             return f"two holders may act: {acting}"
--- a/tansywood/verify/pruning.py
+++ b/tansywood/verify/pruning.py
@@ -25,11 +25,11 @@
     """
     sender, to, what = packet
     if isinstance(what, LeaseReply):
-        return what.seq <= world.holders[to].heard or not what.ok
+        return what.seq <= world.holders[to].last_answered_seq or not what.ok
     raft = world.voters[to].raft
     if isinstance(what, LeaseRequest):
         if raft.role == LEADER:
-            return what.seq <= world.voters[to]._asked.get(what.holder, 0)
+            return what.seq <= world.voters[to]._latest_seq.get(what.holder, 0)
         return raft.term >= highest_term
     if isinstance(what, PreVoteRequest | PreVoteReply | VoteRequest | VoteReply):
         return _dead_vote(raft, what)
@@ -85,7 +85,11 @@
         return what.term <= raft.term
     if what.term > raft.term or not what.ok or what.match_index > raft.match_index.get(sender, 0):
         return False
-    needed = [w.round for w in service.waits if w.round > raft.acknowledged_round.get(sender, 0)]
+    needed = [
+        w.round
+        for w in service.pending_requests
+        if w.round > raft.acknowledged_round.get(sender, 0)
+    ]
     return not needed or min(needed) > what.round
 
 
--- a/tansywood/verify/world.py
+++ b/tansywood/verify/world.py
@@ -97,7 +97,7 @@
     table = fork(service.table)
     table.names_by_holder = {h: set(names) for h, names in service.table.names_by_holder.items()}
     made.table = table
-    made.waits = [copy(w) for w in service.waits]
+    made.pending_requests = [copy(w) for w in service.pending_requests]
     return made
 
 
--- a/tests/lease/test_checker.py
+++ b/tests/lease/test_checker.py
@@ -104,10 +104,10 @@
     lead = LeaseService._lead
 
     def at_once(self: LeaseService, now: int) -> None:
-        if self._led != self.raft.term:
+        if self._led_term != self.raft.term:
             lead(self, now)
-            self.ends = dict.fromkeys(self.ends, now)
-            self._floor = now
+            self.expiries = dict.fromkeys(self.expiries, now)
+            self._earliest_expiry = now
 
     monkeypatch.setattr(LeaseService, "_lead", at_once)
     assert found(EXPIRY).broken.startswith("two holders may act")
--- a/tests/lease/test_client.py
+++ b/tests/lease/test_client.py
@@ -150,7 +150,9 @@
     w.run(1.5)
     assert w.held() == {}
     told = [
-        p.client.why(w.clock(p), "l0") for p in w.places.values() if p.client and p.client.voter
+        p.client.explain_holder(w.clock(p), "l0")
+        for p in w.places.values()
+        if p.client and p.client.voter
     ]
     assert any("a majority" in line for lines in told for line in lines)
     whole(w)
@@ -166,7 +168,7 @@
             client = place.client
             assert client is not None
             client.wanted_voters = w.voters
-            if client.votes and client.voter is None:
+            if client.should_vote and client.voter is None:
                 w.mount(place)
             w.look_at(place, w.now)
         w.run(4.0)
@@ -232,7 +234,7 @@
 def test_without_a_word_that_answers_are_heard_a_lease_is_stuck(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(LeaseService, "deaf", lambda *_args: False)
+    monkeypatch.setattr(LeaseService, "is_unreachable", lambda *_args: False)
     with pytest.raises(AssertionError):
         test_a_one_way_cut_makes_no_leader_fall_over_and_over()
 
@@ -255,7 +257,7 @@
     w.end(next(n for n in "de"))
     w.run(3.0)
     client = w.places[full].client
-    assert client is not None and client.voter is None and "disk" in client.down
+    assert client is not None and client.voter is None and "disk" in client.voter_down_reason
     assert all_held(w)
     whole(w)
 
@@ -358,8 +360,8 @@
     client, place = w.client(who), w.places[who]
     to = next(n for n in w.places if n != who)
     assert client.hand_over(w.clock(place), name, to) == ""
-    assert client.may(w.clock(place), name) == 0
-    assert client.lost(w.clock(place)) == [name]  # its task is ended by this
+    assert client.usable_token(w.clock(place), name) == 0
+    assert client.take_lost(w.clock(place)) == [name]  # its task is ended by this
     assert "not held" in client.hand_over(w.clock(place), name, to)
     assert "no member" in client.hand_over(
         w.clock(place), next(iter(client.holder.leases)), "nobody"
@@ -370,7 +372,7 @@
     w = LeaseWorld("abcd", "abc", 1)
     w.found()
     for place in w.places.values():
-        w.client(place.name).placement.prefers = {"home": "d"}
+        w.client(place.name).placement.home_addresses = {"home": "d"}
     w.want(["home"])
     w.run(4.0)
     assert w.held() == {"home": "d"}
@@ -379,7 +381,7 @@
     stand_in = w.held()["home"]
     assert stand_in != "d"
     w.start("d")
-    w.client("d").placement.prefers = {"home": "d"}
+    w.client("d").placement.home_addresses = {"home": "d"}
     w.run(14.0)
     assert w.held() == {"home": "d"}  # back where it belongs, by one move
     assert [who for _, name, who in w.grants if name == "home"] == ["d", stand_in, "d"]
--- a/tests/lease/test_raft.py
+++ b/tests/lease/test_raft.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from tansywood.lease.fence import Fence, Refused
+from tansywood.lease.fence import Fence, StaleToken
 from tansywood.lease.holder import Holder
 from tansywood.lease.log import COMMAND, Message, PersistentState, Snapshot
 from tansywood.lease.messages import LeaseReply, LeaseRequest
@@ -72,13 +72,13 @@
                 self.send(name, to, message)
             for index, entry in out.committed:
                 assert self.log.setdefault(index, entry) == entry, index
-            answers, service.answers = service.answers, []
+            answers, service.replies = service.replies, []
             for to, reply in answers:
                 self.send(name, to, reply)
 
     def hold(self, name: str, *want: str) -> Holder:
         holder = self.holders.setdefault(name, Holder(name, TERMS))
-        holder.want |= set(want)
+        holder.wanted_names |= set(want)
         return holder
 
     def run(self, seconds: float) -> None:
@@ -92,18 +92,18 @@
                         self.holders[b].receive_reply(self.now, what)
                 elif b in self.services:
                     if isinstance(what, LeaseRequest):
-                        self.services[b].ask(self.now, a, what)
+                        self.services[b].handle_request(self.now, a, what)
                     else:
                         message: Message = what
                         self.services[b].raft.receive(self.now, a, message)
-                        self.services[b].after(self.now)
+                        self.services[b].queue_due_replies(self.now)
                     self.flush(b)
             for name in list(self.services):
                 self.services[name].tick(self.now)
                 self.flush(name)
             if self.now // (10 * MS) % 20 == 0:
                 for name, holder in self.holders.items():
-                    ask = holder.ask(self.now)
+                    ask = holder.next_request(self.now)
                     for voter in self.services:
                         self.send(name, voter, ask)
             self.check()
@@ -113,9 +113,9 @@
         assert len(leaders) == len(set(leaders))
         acting: dict[str, list[str]] = {}
         for holder in self.holders.values():
-            holder.expire(self.now)
+            holder.take_lost(self.now)
             for name in list(holder.leases):
-                token = holder.may(self.now, name)
+                token = holder.usable_token(self.now, name)
                 if token:
                     acting.setdefault(name, []).append(holder.name)
                     self.acts.append((token, holder.name, self.now))
@@ -150,8 +150,8 @@
                 c.start(name)
         for holder in c.holders.values():
             if "x" in holder.leases and c.rng.random() < 0.3:
-                holder.give("x", c.rng.choice(["", "A", "B"]))
-                holder.want.add("x")
+                holder.give_back("x", c.rng.choice(["", "A", "B"]))
+                holder.wanted_names.add("x")
         c.run(c.rng.choice((0.2, 0.7, 1.5)))
     c.loss = 0.0
     c.cut.clear()
@@ -159,11 +159,11 @@
         if name not in c.services:
             c.start(name)
     c.run(8.0)
-    assert sum(bool(h.may(c.now, "x")) for h in c.holders.values()) == 1  # free in the end
+    assert sum(bool(h.usable_token(c.now, "x")) for h in c.holders.values()) == 1  # free in the end
     tokens = [token for token, _, _ in c.acts if token]
     by_time = [t for t, _, _ in sorted(c.acts, key=lambda a: a[2])]
     assert tokens and max(by_time) == max(tokens)
-    assert all(h.may(c.now, f"own-{n}") for n, h in c.holders.items())
+    assert all(h.usable_token(c.now, f"own-{n}") for n, h in c.holders.items())
 
 
 def test_a_dead_holder_of_hundreds_is_one_entry() -> None:
@@ -182,17 +182,17 @@
     c = Cluster(["v1", "v2", "v3"], 4)
     c.hold("A", "x")
     c.run(3.0)
-    assert c.holders["A"].may(c.now, "x")
+    assert c.holders["A"].usable_token(c.now, "x")
     gone = [n for n in c.kept if n != c.leader.raft.name]
     for name in gone:
         del c.services[name]
     c.hold("B", "x")
     c.run(4.0)
-    assert not any(h.may(c.now, "x") for h in c.holders.values())
+    assert not any(h.usable_token(c.now, "x") for h in c.holders.values())
     for name in gone:
         c.start(name)
     c.run(5.0)
-    assert sum(bool(h.may(c.now, "x")) for h in c.holders.values()) == 1
+    assert sum(bool(h.usable_token(c.now, "x")) for h in c.holders.values()) == 1
 
 
 def test_one_cut_off_does_not_unseat_a_leader_when_it_is_back() -> None:
@@ -241,7 +241,7 @@
         change(c, *voters)
         c.run(3.0)
         assert set(c.leader.raft.voters) == set(voters)
-        assert c.holders["A"].may(c.now, "x")
+        assert c.holders["A"].usable_token(c.now, "x")
     c.run(3.0)
     assert c.leader.raft.name != "v1"
     assert c.leader.raft.change_voters(c.now, ("v2", "v3")) == "voters change one at a time"
@@ -287,7 +287,7 @@
     del c.services[behind]
     holder = c.hold("A")
     for n in range(120):
-        holder.want.add(f"l{n}")
+        holder.wanted_names.add(f"l{n}")
         c.run(0.21)
     assert c.leader.raft.snapshot.index > 50
     c.start(behind)
@@ -303,7 +303,7 @@
     for name in [n for n in c.kept if n != leader.raft.name]:
         del c.services[name]
     for seq in range(1, 60):  # a round for each puts off the next heartbeat
-        leader.ask(c.now, "A", LeaseRequest("A", seq))
+        leader.handle_request(c.now, "A", LeaseRequest("A", seq))
         c.flush(leader.raft.name)
         c.run(0.05)
     assert leader.raft.role != LEADER
@@ -315,26 +315,26 @@
     c.run(2.0)
     c.hold("C", "x")
     c.hold("B")
-    c.holders["A"].give("x", "B")
-    c.holders["B"].want.add("x")
-    assert not c.holders["A"].may(c.now, "x")  # from this moment on
+    c.holders["A"].give_back("x", "B")
+    c.holders["B"].wanted_names.add("x")
+    assert not c.holders["A"].usable_token(c.now, "x")  # from this moment on
     c.run(1.0)
-    assert c.holders["B"].may(c.now, "x") and not c.holders["C"].may(c.now, "x")
+    assert c.holders["B"].usable_token(c.now, "x") and not c.holders["C"].usable_token(c.now, "x")
 
 
 def test_what_a_holder_had_ends_by_word_or_by_time() -> None:
     h = Holder("A", TERMS)
-    h.want.add("x")
-    ask = h.ask(0)
+    h.wanted_names.add("x")
+    ask = h.next_request(0)
     assert ask.acquire == ("x",)
     assert h.receive_reply(5, LeaseReply(ask.seq, True, (("x", 7),)))
-    assert h.may(TERMS.holder_duration_ns - 1, "x") == 7 and not h.may(
+    assert h.usable_token(TERMS.holder_duration_ns - 1, "x") == 7 and not h.usable_token(
         TERMS.holder_duration_ns, "x"
     )
-    late = h.ask(SECOND)
+    late = h.next_request(SECOND)
     after_its_end = LeaseReply(late.seq, True, (("x", 7),))
     assert not h.receive_reply(9 * SECOND, after_its_end)
-    assert h.expire(9 * SECOND) == ["x"] and h.expire(9 * SECOND) == []
+    assert h.take_lost(9 * SECOND) == ["x"] and h.take_lost(9 * SECOND) == []
     older = LeaseReply(ask.seq, True, (("x", 7),))
     assert not h.receive_reply(9 * SECOND, older)
 
@@ -345,9 +345,9 @@
     fence.check("x", 5, lambda: kept.append(5))
     fence.check("x", 5, lambda: kept.append(5))
     fence.check("x", 9, lambda: kept.append(9))
-    with pytest.raises(Refused, match="token 5 is older than 9"):
+    with pytest.raises(StaleToken, match="token 5 is older than 9"):
         fence.check("x", 5)
-    with pytest.raises(Refused):
+    with pytest.raises(StaleToken):
         fence.check("y", 0)  # nobody's
     assert kept == [5, 9]
 
