--- a/tansywood/lease/__init__.py
+++ b/tansywood/lease/__init__.py
@@ -1,5 +1,6 @@
-"""One holder at a time for fleet-wide tasks: a replicated log, leases over it, fencing tokens.
+"""Leases that give a fleet-wide task one holder at a time: replicated log, leases, fencing tokens.
 
-Pure: no I/O, no clock, no random numbers but a generator that is passed in. The same objects are
-driven by sockets, by simulated time and by the checker. docs/design/lease.md has the argument.
+The package is pure: it does no I/O and reads no clock, and random numbers come from a generator
+that the caller passes in. Sockets, simulated time and the model checker all drive the same objects.
+docs/design/lease.md explains why two holders never act at the same time.
 """
--- a/tansywood/lease/client.py
+++ b/tansywood/lease/client.py
@@ -1,9 +1,10 @@
-"""The lease client of one instance: its voter if it is one, its holder, who it hears. Pure.
+"""The lease client of one instance: its voter, if the instance has one, and its holder. Pure.
 
-It takes messages, members and the time, and gives messages to send (`take_sends`) and what
-happened (`events`). The disk is asked by `voter.next_write`; sockets and tasks are the service's.
-Its parts are `holding` (what is asked for and held), `placement` (what belongs where), `electorate`
-(who votes), `exchange` (messages) and `status` (what people are told).
+The client takes messages, members and the current time. It returns the messages to send
+(`take_sends`) and records what happened in `events`. The caller writes what `voter.next_write`
+returns to disk and owns the sockets and tasks. The client's parts are `holding` (leases that are
+requested and held), `placement` (the instance that should hold each lease), `electorate` (the
+instances that vote), `exchange` (messages) and `status` (reports for operators).
 """
 
 from __future__ import annotations
@@ -39,12 +40,12 @@
 from tansywood.lease.terms import LeaseTerms
 from tansywood.lease.voter import Voter
 
-TEND_EVERY = 250 * MS  # between two looks at who should vote and where leases belong
-WAITING_FOR = 3  # renewals after which an ask is forgotten
+MAINTENANCE_INTERVAL_NS = 250 * MS  # between two checks of the voters and of lease placement
+WAITLIST_RENEWAL_COUNT = 3  # renewal intervals after which the waitlist drops a request
 
 
 class LeaseClient:
-    """One life of one instance."""
+    """The lease client of one instance, from the start of its process to the end."""
 
     def __init__(
         self,
@@ -55,38 +56,38 @@
         rng: Random,
         timing: Timing | None = None,
     ) -> None:
-        """`voters` are the instances that are to vote, the same everywhere."""
+        """`voters` names the instances that should vote; every instance must have the same list."""
         self.context = Context(name, life, tuple(voters), terms, rng)
         self.timing = timing or Timing()
         self.voter: Voter | None = None
-        self.voter_down_reason = ""  # why there is no voter, where there should be one
-        self.disk_rejection_reason = ""  # why our disk is to be put aside for a blank one
-        self.exchange = Exchange(self.context, self._take)
+        self.voter_down_reason = ""  # why a wanted voter does not run
+        self.disk_rejection_reason = ""  # why the disk must be replaced by a blank one
+        self.exchange = Exchange(self.context, self._process_message)
         self.admission = Admission(self.context)
         self.electorate = Electorate(self.context, self._send)
         self.holding = Holding(self.context, self._send_request)
         self.placement = Placement(self.context)
-        self.waitlist = Waitlist(WAITING_FOR * terms.renew_interval_ns)
-        self.table: tuple[tuple[str, str, int], ...] = ()  # at one that does not vote: as told last
+        self.waitlist = Waitlist(WAITLIST_RENEWAL_COUNT * terms.renew_interval_ns)
+        self.table: tuple[tuple[str, str, int], ...] = ()  # rows of the last TableReply
         self.table_received_at = -1
-        self._next_tend = 0
-        self._role = ""
+        self._next_maintenance_at = 0
+        self._reported_role = ""
 
-    # ---- what is read of it --------------------------------------------------------------------
+    # ---- properties ----------------------------------------------------------------------------
 
     @property
     def name(self) -> str:
-        """Of the instance."""
+        """The name of the instance."""
         return self.context.name
 
     @property
     def life(self) -> bytes:
-        """Of this process."""
+        """The identity of this process, which a restart changes."""
         return self.context.life
 
     @property
     def terms(self) -> LeaseTerms:
-        """How long leases last."""
+        """The duration and the renewal interval of leases."""
         return self.context.terms
 
     @terms.setter
@@ -95,7 +96,7 @@
 
     @property
     def wanted_voters(self) -> tuple[str, ...]:
-        """Instances that are to vote."""
+        """The instances that should vote according to the settings."""
         return self.context.wanted_voters
 
     @wanted_voters.setter
@@ -104,38 +105,38 @@
 
     @property
     def should_vote(self) -> bool:
-        """Whether the settings want this instance to vote."""
+        """Whether the settings name this instance as a voter."""
         return self.context.name in self.context.wanted_voters
 
     @property
     def peers(self) -> dict[str, Peer]:
-        """Members, by name."""
+        """The members of the fleet by name."""
         return self.context.peers
 
     @property
     def counts(self) -> dict[str, int]:
-        """Messages, by what became of them."""
+        """Counts of messages by outcome."""
         return self.context.counts
 
     @property
     def events(self) -> EventLog[str]:
-        """What happened."""
+        """The log of recent events."""
         return self.context.events
 
     @property
     def holder(self) -> Holder:
-        """What is held and asked for."""
+        """The holder, which has the leases that are held and requested."""
         return self.holding.holder
 
     def take_sends(self) -> list[tuple[str, Fragment]]:
-        """Fragments to be sent now, with their addresses."""
+        """Return the fragments to send now, each with its address, and clear the list."""
         sends, self.exchange.sends = self.exchange.sends, []
         return sends
 
     # ---- the voter -----------------------------------------------------------------------------
 
     def start_voter(self, now: int, kept: DiskContents) -> None:
-        """With what lies on its disk."""
+        """Start the voter from the contents of its disk."""
         self.voter = Voter(kept, self.terms, self.timing, self.context.rng, now)
         self.voter_down_reason = ""
         self.disk_rejection_reason = ""
@@ -143,28 +144,28 @@
         self.events.add(now, f"votes as {kept.id}, {kept.saves} saves, term {kept.saved.term}")
 
     def stop_voter(self, now: int, why: str) -> None:
-        """Its disk is away or can't be gone by: it is as if it had crashed."""
+        """Stop the voter because its disk is missing or unusable; to the others it has crashed."""
         self.voter = None
         self.voter_down_reason = why
-        self.waitlist = Waitlist(WAITING_FOR * self.terms.renew_interval_ns)
+        self.waitlist = Waitlist(WAITLIST_RENEWAL_COUNT * self.terms.renew_interval_ns)
         self.events.add(now, f"votes no more: {why}")
 
     def found(self, now: int, group: str) -> str:
-        """Begin a group of voters with this one alone; says why not, or nothing."""
+        """Found a group with this voter alone; return why not, or an empty text."""
         if self.voter is None:
             return f"no voter here: {self.voter_down_reason or 'the settings name others'}"
-        return self._alone(
+        return self._begin_group(
             now, founding.found(self.voter, group, self.electorate.find_known_group())
         )
 
     def refound(self, now: int, group: str) -> str:
-        """Go on alone from what this disk knows, as another group; says why not, or nothing. See
-        `founding.refound` for what has to be made sure of first."""
+        """Found a new group from the contents of this disk; return the reason for a refusal, or an
+        empty text. `founding.refound` states what an operator has to verify first."""
         if self.voter is None or not self.voter.group:
             return "no voter of a group here: nothing to go on from"
-        return self._alone(now, founding.refound(now, self.voter, group))
+        return self._begin_group(now, founding.refound(now, self.voter, group))
 
-    def _alone(self, now: int, group: founding.NewGroup | str) -> str:
+    def _begin_group(self, now: int, group: founding.NewGroup | str) -> str:
         if isinstance(group, str):
             return group
         self.start_voter(now, group.kept)
@@ -174,10 +175,10 @@
         self.flush(now)
         return ""
 
-    # ---- who is there, and what is to be done here ---------------------------------------------
+    # ---- members and wanted leases -------------------------------------------------------------
 
     def update_members(self, now: int, peers: Mapping[str, Peer], draining: bool = False) -> None:
-        """Who is there, as the fleet knows it, and whether we are told to drain."""
+        """Take the members as the fleet knows them, and whether this instance has to drain."""
         changed = {n: (p.accepts_leases, p.is_unsuspected) for n, p in peers.items()} != {
             n: (p.accepts_leases, p.is_unsuspected) for n, p in self.peers.items()
         }
@@ -188,62 +189,65 @@
         if changed:
             self.update_wanted(now)
 
-    def request_lease(self, now: int, name: str, everybody: bool = False) -> None:
-        """Somebody here would do this. `everybody`: all instances would, and one should be first
-        for it, so this one asks only if it is among the first few."""
+    def request_lease(self, now: int, name: str, on_every_instance: bool = False) -> None:
+        """Request a lease for a task of this instance. `on_every_instance` says that all instances
+        run the task: this one then requests it only if it ranks among the first for it."""
         self.placement.wanted_names.add(name)
-        if everybody:
+        if on_every_instance:
             self.placement.shared_names.add(name)
         self.update_wanted(now)
 
     def release_lease(self, now: int, name: str) -> None:
-        """No more: it is given back."""
+        """Give a lease back and stop requesting it."""
         self.placement.wanted_names.discard(name)
         self.placement.shared_names.discard(name)
         self.holding.give_back(name)
         self.update_wanted(now)
-        self.holding.ask_soon(now)
+        self.holding.request_soon(now)
 
     def update_wanted(self, now: int) -> None:
-        """Look anew at what to ask for."""
-        self.holding.want(now, self.placement.to_ask_for(now))
+        """Recompute the leases to request."""
+        self.holding.set_wanted(now, self.placement.names_to_request(now))
 
     # ---- the network ---------------------------------------------------------------------------
 
     def send(self, now: int, sender: str, to: str, message: AnyMessage) -> None:
-        """To a voter's or a holder's id, or to whatever votes at an instance of that name."""
+        """Send to the id of a voter or a holder, or to the voter at the instance of that name."""
         self.exchange.send(now, sender, to, message, self.voter)
 
     def _send(self, now: int, to: str, message: AnyMessage) -> None:
-        """In the voter's name where there is one, in the holder's otherwise."""
+        """Send with the id of the voter, or with the id of the holder if there is no voter."""
         self.send(now, self.voter.id if self.voter is not None else self.holder.name, to, message)
 
     def _send_request(self, now: int, to: str, request: LeaseRequest) -> None:
         self.send(now, self.holder.name, to, request)
 
     def receive(self, now: int, name: str, life: bytes, fragment: Fragment) -> None:
-        """What that life of that instance sent; the fleet's seal says that it did."""
+        """Process a fragment from a process of an instance; the fleet's seal proves the sender."""
         message = self.exchange.read(now, name, life, fragment)
         if message is None:
             return
-        of_a_disk = isinstance(message, (*LOG_MESSAGES, VoterAnnouncement, DiskBehind))
-        if of_a_disk and not self._honest(now, life, fragment):
+        is_from_voter = isinstance(message, (*LOG_MESSAGES, VoterAnnouncement, DiskBehind))
+        if is_from_voter and not self._has_all_saves(now, life, fragment):
             return
         if isinstance(message, LOG_MESSAGES):
-            ours, aside = self.admission.check_group(self.voter, fragment, message)
-            self.disk_rejection_reason = aside or self.disk_rejection_reason
-            if not ours:
+            is_same_group, rejection_reason = self.admission.check_group(
+                self.voter, fragment, message
+            )
+            self.disk_rejection_reason = rejection_reason or self.disk_rejection_reason
+            if not is_same_group:
                 return
         if isinstance(message, VoterAnnouncement):
             self.electorate.receive_announcement(
                 now, name, fragment.sender, fragment.group, message
             )
         else:
-            self._take(now, name, life, fragment.sender, fragment.to, message)
+            self._process_message(now, name, life, fragment.sender, fragment.to, message)
         self.flush(now)
 
-    def _honest(self, now: int, life: bytes, fragment: Fragment) -> bool:
-        """Whether a voter's disk has all that it said before; one that has less is told."""
+    def _has_all_saves(self, now: int, life: bytes, fragment: Fragment) -> bool:
+        """Whether the sender's disk has all the saves that it reported before. A voter whose disk
+        has fewer saves is told with DiskBehind."""
         if self.voter is None:
             return True
         behind = self.admission.check_disk(self.voter, life, fragment)
@@ -251,16 +255,16 @@
             self._send(now, fragment.sender, DiskBehind(behind))
         return not behind
 
-    def _take(
+    def _process_message(
         self, now: int, name: str, life: bytes, sender: str, to: str, message: AnyMessage
     ) -> None:
-        """A whole message, of another instance or of this one."""
+        """Process a complete message from another instance or from this one."""
         if isinstance(message, LeaseReply):
             if to == self.holder.name:
                 self.holding.receive_reply(now, sender, message)
         elif isinstance(message, GrantNotice):
             if to == self.holder.name:
-                self.holding.ask_soon(now)
+                self.holding.request_soon(now)
         elif isinstance(message, TableReply):
             self.table = message.rows
             self.table_received_at = now
@@ -268,9 +272,9 @@
             return
         elif isinstance(message, LeaseRequest):
             if message.holder != holder_id(name, life):
-                self.counts["stale"] += 1  # nobody asks in another's name
+                self.counts["stale"] += 1  # a holder may request only under its own id
                 return
-            self._asked(now, self.voter, message)
+            self._receive_request(now, self.voter, message)
         elif isinstance(message, DiskBehind):
             if to == self.voter.id and message.saves > self.voter.kept.saves:
                 saves = self.voter.kept.saves
@@ -284,18 +288,19 @@
         elif isinstance(message, LOG_MESSAGES):
             self.voter.receive(now, sender, message)
 
-    def _asked(self, now: int, voter: Voter, ask: LeaseRequest) -> None:
-        """A holder's ask, at a voter; where that leads, what another has is waited for."""
-        voter.receive_request(now, ask)
+    def _receive_request(self, now: int, voter: Voter, request: LeaseRequest) -> None:
+        """Process a holder's request at a voter. On the leader, a requested lease that another
+        holder has puts the requester on the waitlist."""
+        voter.receive_request(now, request)
         if not voter.leads:
             return
-        for lost, _, _ in ask.release:
-            self.waitlist.rows.get(lost, {}).pop(ask.holder, None)
+        for name, _, _ in request.release:
+            self.waitlist.rows.get(name, {}).pop(request.holder, None)
         table = voter.service.table.leases
-        self.waitlist.heard(now, ask.holder, [n for n in ask.acquire if n in table])
+        self.waitlist.record(now, request.holder, [n for n in request.acquire if n in table])
 
     def flush(self, now: int) -> None:
-        """Send what may go, grant what has become free."""
+        """Send what is ready, and grant the leases that have become free."""
         while (voter := self.voter) is not None:
             changes, voter.changes = voter.changes, []
             if changes and voter.leads:
@@ -305,13 +310,13 @@
                 self.send(now, voter.id, to, message)
             if not sends and not changes:
                 break
-        self._notice(now)
+        self._record_leadership(now)
 
     def _grant_freed(self, now: int, voter: Voter, changes: list[TableChange]) -> None:
         freed = [name for change in changes for name in change.freed]
         waited = {w.ask.holder for w in voter.service.pending_requests}
         for holder in {h for change in changes for _, h in change.granted} - waited:
-            # It has not asked just now: it hears of what it has when it does.
+            # The holder has no open request: the notice makes it send one and learn of the grant.
             self._send(now, holder, GrantNotice())
         table = voter.service.table
         free = [name for name in freed if name not in table.leases]
@@ -321,32 +326,33 @@
         if rows:
             voter.grant(now, rows)
 
-    # ---- what is held --------------------------------------------------------------------------
+    # ---- held leases ---------------------------------------------------------------------------
 
     def usable_token(self, now: int, name: str) -> int:
-        """The token to act with; 0 where it may not."""
+        """The fencing token to act with now, or 0 if this instance may not act on the lease."""
         return self.holder.usable_token(now, name)
 
     def take_lost(self, now: int) -> list[str]:
-        """Names that were held and may not be acted on any more."""
+        """Return the leases that were lost since the last call; their tasks must end."""
         names = self.holding.take_lost(now)
         if names:
             self.update_wanted(now)
-            self.holding.ask_soon(now)
+            self.holding.request_soon(now)
         return names
 
     def hand_over(self, now: int, name: str, to: str = "") -> str:
-        """Give a lease to another instance, or to whoever asked for it; says why not."""
+        """Give a lease to another instance, or to a holder that requested it; return the reason for
+        a refusal, or an empty text."""
         return self.holding.hand_over(now, name, to)
 
     def query_table(self, now: int) -> None:
-        """Ask the voters who holds what."""
+        """Ask the voters for the table of leases."""
         for name in self.wanted_voters:
             self.send(now, self.holder.name, name, TableQuery())
 
-    def _move(self, now: int) -> None:
-        """Hand on what belongs to another, if a look is due."""
-        moves = self.placement.moves(now, list(self.holder.leases), self.holding.deaf)
+    def _hand_over_misplaced(self, now: int) -> None:
+        """Hand over leases that belong to other instances, if a check of the placement is due."""
+        moves = self.placement.due_moves(now, list(self.holder.leases), self.holding.unreachable)
         for name, to in moves.items():
             self.hand_over(now, name, to)
         if moves or self.placement.draining:
@@ -355,61 +361,61 @@
     # ---- time ----------------------------------------------------------------------------------
 
     def next_due(self) -> int:
-        """When `tick` has something to do."""
-        due = [self.holding.next_due(), self._next_tend]
+        """The time at which `tick` has to be called next."""
+        due = [self.holding.next_due(), self._next_maintenance_at]
         if self.voter is not None:
             due += [self.voter.next_due(), self.electorate.announce_at]
         return min(due)
 
     def tick(self, now: int) -> None:
-        """Whatever is due by now."""
-        self.placement.begin(now)
+        """Do all that is due by now."""
+        self.placement.record_start(now)
         voter = self.voter
         if voter is not None:
             voter.tick(now)
             if now >= self.electorate.announce_at:
                 self.electorate.announce(now, voter)
-        if now >= self._next_tend:
-            self._next_tend = now + TEND_EVERY
+        if now >= self._next_maintenance_at:
+            self._next_maintenance_at = now + MAINTENANCE_INTERVAL_NS
             if voter is not None and voter.leads:
                 self.waitlist.sweep(now)
                 self.electorate.update_voters(now, voter)
             if self.placement.home_addresses:
                 self.update_wanted(now)
-            self._move(now)
-        if now >= self.holding.next_ask:
-            self.holding.ask(now)
+            self._hand_over_misplaced(now)
+        if now >= self.holding.next_request_at:
+            self.holding.send_request(now)
         self.flush(now)
 
-    def _notice(self, now: int) -> None:
-        """Tell of the begin and the end of leading."""
+    def _record_leadership(self, now: int) -> None:
+        """Record an event when this voter becomes leader or stops leading."""
         voter = self.voter
         role = ""
         if voter is not None and voter.raft.role == LEADER:
             role = f"leads in term {voter.raft.term}" if voter.leads else ""
-        if role != self._role:
+        if role != self._reported_role:
             self.events.add(now, role or "leads no more")
-            self._role = role
+            self._reported_role = role
 
     def release_all(self, now: int) -> None:
-        """At an orderly end: everything is given back now, to who is the first for it."""
+        """Give all leases back at an orderly shutdown, each to the member ranked first for it."""
         leases = list(self.holder.leases)
-        for name, to in self.placement.all_moves(now, leases, self.holding.deaf).items():
+        for name, to in self.placement.all_moves(now, leases, self.holding.unreachable).items():
             self.hand_over(now, name, to)
         for name in list(self.holder.leases):
             self.hand_over(now, name)
         self.placement.wanted_names.clear()
         self.placement.shared_names.clear()
         self.holder.wanted_names = set()
-        self.holding.ask(now)
+        self.holding.send_request(now)
         self.flush(now)
 
-    # ---- telling people ------------------------------------------------------------------------
+    # ---- reports -------------------------------------------------------------------------------
 
     def explain_holder(self, now: int, name: str) -> list[str]:
-        """Who has a lease, or why nobody has, in sentences."""
+        """Sentences that say who holds a lease, or why nobody does."""
         return status.explain_holder(self, now, name)
 
     def status(self, now: int) -> dict[str, Any]:
-        """Of JSON's types."""
+        """The state as a mapping of JSON types."""
         return status.status(self, now)
--- a/tansywood/lease/service.py
+++ b/tansywood/lease/service.py
@@ -1,7 +1,7 @@
-"""Leases over the log: the voters' part. The holders' is in `holder` and `fence`.
+"""Leases over the replicated log, as a voter handles them; `holder` and `fence` serve the holders.
 
-Pure; times are nanoseconds of one process's monotonic clock, never compared with another's.
-docs/design/lease.md says why two holders never act at once.
+The module is pure. Times are nanoseconds of one process's monotonic clock and are never compared
+with times of another process. docs/design/lease.md explains why two holders never act at once.
 """
 
 from __future__ import annotations
@@ -22,89 +22,89 @@
 )
 from tansywood.lease.terms import LeaseTerms
 
-DEAF_MOST = 16  # that are told of
-ASKED_MOST = 4096  # holders whose latest request is remembered
+MAX_UNREACHABLE_REPORTED = 16  # unreachable holders that a reply lists
+MAX_REMEMBERED_HOLDERS = 4096  # holders whose latest request is remembered
 
 
-def _nobody(_index: int, _change: TableChange) -> None:
+def _ignore_change(_index: int, _change: TableChange) -> None:
     pass
 
 
 @dataclass(slots=True)
 class _PendingRequest:
-    """A request that is answered once a majority has confirmed this leader."""
+    """A request that is answered after a majority has confirmed this voter as the leader."""
 
     sender: str
     ask: LeaseRequest
     round: int
-    index: int  # and once this place of the log is applied
+    index: int  # the log index that must be applied before the reply
     term: int
 
 
 class LeaseService:
-    """One voter: the log, the table it comes to, and, while it leads, when holders end."""
+    """The lease table of one voter; on the leader also the requests and each holder's expiry."""
 
     def __init__(self, raft: Raft, terms: LeaseTerms, snapshot_every: int = 4096) -> None:
         self.raft = raft
         self.terms = terms
         self.snapshot_every = snapshot_every
         self.table = LeaseTable.load(raft.snapshot.data)
-        self.expiries: dict[str, int] = {}  # by holder: before then the leader may not end it
+        self.expiries: dict[str, int] = {}  # by holder: the leader must not end it before this time
         self.pending_requests: list[_PendingRequest] = []
         self.replies: list[tuple[str, LeaseReply]] = []
-        self.on_change: Callable[[int, TableChange], None] = (
-            _nobody  # told of each entry, by its index
-        )
-        self._led_term = 0  # the term in which `ends` was begun
-        self._earliest_expiry = 0  # the end of whoever has not asked in it
+        # Called with the log index and the table change of each applied entry.
+        self.on_change: Callable[[int, TableChange], None] = _ignore_change
+        self._led_term = 0  # the term in which `expiries` was started
+        self._earliest_expiry = 0  # earliest end of holders without a request in that term
         self._last_tick_at = 0
-        self._ending: dict[str, int] = {}  # holders whose EndHolder is in the log, by its index
+        self._ending: dict[str, int] = {}  # log index of the EndHolder entry, by holder
         self._taking: dict[tuple[str, str], int] = {}
-        self._latest_seq: dict[str, int] = {}  # the latest of each holder, in this term
-        # By holder: the first answer that it has not shown to have heard, when it was given, and
-        # when it asked last without having heard it.
+        self._latest_seq: dict[str, int] = {}  # by holder: its latest request in this term
+        # By holder: the number of the first reply that the holder has not acknowledged, the time of
+        # that reply, and the time of the latest request that did not acknowledge it.
         self._unheard: dict[str, tuple[int, int, int]] = {}
-        self._deaf: tuple[str, ...] = ()  # as of the last tick
+        self._unreachable: tuple[str, ...] = ()  # unreachable holders at the last tick
 
-    # ---- from outside --------------------------------------------------------------------------
+    # ---- requests ------------------------------------------------------------------------------
 
-    def handle_request(self, now: int, sender: str, ask: LeaseRequest) -> None:
-        """A holder's request. Where this one does not lead the reply says who does, at once."""
+    def handle_request(self, now: int, sender: str, request: LeaseRequest) -> None:
+        """Process a holder's request. A voter that does not lead names the leader at once."""
         raft = self.raft
         if not raft.is_ready_leader:
-            self.replies.append((sender, LeaseReply(ask.seq, False, (), raft.leader)))
+            self.replies.append((sender, LeaseReply(request.seq, False, (), raft.leader)))
             return
         self._lead(now)
-        if ask.seq <= self._latest_seq.get(ask.holder, 0):
-            return  # doubled, or overtaken by a newer one, whose answer says all of it
-        self._latest_seq[ask.holder] = ask.seq
-        if ask.last_reply_seq >= self._unheard.get(ask.holder, (0, 0, 0))[0]:
-            self._unheard.pop(ask.holder, None)
+        if request.seq <= self._latest_seq.get(request.holder, 0):
+            return  # a duplicate, or older than a request whose reply covers it
+        self._latest_seq[request.holder] = request.seq
+        if request.last_reply_seq >= self._unheard.get(request.holder, (0, 0, 0))[0]:
+            self._unheard.pop(request.holder, None)
         else:
-            self._unheard[ask.holder] = (*self._unheard[ask.holder][:2], now)
+            self._unheard[request.holder] = (*self._unheard[request.holder][:2], now)
         index = 0
-        for name in () if self.is_unreachable(now, ask.holder) else ask.acquire:
+        for name in () if self.is_unreachable(now, request.holder) else request.acquire:
             known = self.table.leases.get(name)
-            if known is None and (name, ask.holder) not in self._taking:
-                index = raft.propose(pack(AcquireLease(name, ask.holder)))
-                self._taking[name, ask.holder] = index
-        for name, token, to in ask.release:
+            if known is None and (name, request.holder) not in self._taking:
+                index = raft.propose(pack(AcquireLease(name, request.holder)))
+                self._taking[name, request.holder] = index
+        for name, token, to in request.release:
             known = self.table.leases.get(name)
-            if known is not None and known.token == token and known.holder == ask.holder:
+            if known is not None and known.token == token and known.holder == request.holder:
                 index = raft.propose(pack(ReleaseLease(name, token, to)))
                 if to:
-                    # It does not know yet: from now on it has a whole length to hear of it.
+                    # The new holder does not know of the grant yet, so it gets a full lease
+                    # duration to learn of it.
                     self._extend(now, to)
         round_ = raft.begin_round(now)
-        waits = _PendingRequest(sender, ask, round_, max(index, raft.commit_index), raft.term)
-        self.pending_requests = [w for w in self.pending_requests if w.ask.holder != ask.holder]
-        self.pending_requests.append(waits)
+        pending = _PendingRequest(sender, request, round_, max(index, raft.commit_index), raft.term)
+        self.pending_requests = [w for w in self.pending_requests if w.ask.holder != request.holder]
+        self.pending_requests.append(pending)
         self.queue_due_replies(now)
 
     def grant(self, now: int, name: str, holder: str) -> bool:
-        """Propose what is free for one that asked for it before and was too late: as if its
-        request had come again. It hears of it by its next request, and lives for a whole length
-        until then."""
+        """Propose a free lease for a holder that requested it while another had it, as if the
+        request had come again. The holder learns of the grant from the reply to its next request;
+        until then its leases last a full lease duration. False if the grant is not possible."""
         if not self.raft.is_ready_leader or holder in self._ending or name in self.table.leases:
             return False
         if self.is_unreachable(now, holder):
@@ -116,15 +116,16 @@
         return True
 
     def is_unreachable(self, now: int, holder: str) -> bool:
-        """Whether a holder that goes on asking has heard nothing of us for a whole lease: the way
-        to it is cut. Kept by its asking alone, what it has would be nobody's for as long as that
-        lasts. One that has ended, or wants nothing any more, does not ask."""
+        """Whether a holder goes on sending requests but has received no reply for a lease duration,
+        because the network loses the replies. If its requests alone renewed its leases, nobody
+        could act on them as long as the cut lasts. A holder that has ended, or wants no lease any
+        more, sends no requests and is not counted as unreachable."""
         row = self._unheard.get(holder)
         length = self.terms.duration_ns
         return row is not None and row[2] - row[1] > length and now - row[2] <= 2 * length
 
     def queue_due_replies(self, now: int) -> None:
-        """After anything that happened to the log: answer what can be answered by now."""
+        """Queue the replies that have become possible. To be called after any change of the log."""
         if not self.raft.is_ready_leader:
             for w in self.pending_requests:
                 self.replies.append((w.sender, LeaseReply(w.ask.seq, False, (), self.raft.leader)))
@@ -144,23 +145,24 @@
     def _answer(self, now: int, w: _PendingRequest) -> None:
         holder = w.ask.holder
         if holder in self._ending:
-            # Its end is in the log: it is not to hear that it may go on.
+            # The log already ends this holder, so the reply must not renew its leases.
             self.replies.append((w.sender, LeaseReply(w.ask.seq, False, (), self.raft.name)))
             return
         names = sorted(self.table.names_by_holder.get(holder, ()))
         if names and self.is_unreachable(now, holder):
-            return  # neither told nor extended: it comes to its end
+            return  # no reply and no extension: its leases run out
         self._unheard.setdefault(holder, (w.ask.seq, now, now))
         self._extend(now, holder)
         leases = tuple((name, self.table.leases[name].token) for name in names)
-        self.replies.append((w.sender, LeaseReply(w.ask.seq, True, leases, "", self._deaf)))
+        self.replies.append((w.sender, LeaseReply(w.ask.seq, True, leases, "", self._unreachable)))
 
     def _extend(self, now: int, holder: str) -> None:
         self.expiries[holder] = max(self.expiries.get(holder, 0), now + self.terms.duration_ns)
 
     def _lead(self, now: int) -> None:
-        """At the first look in a term that this one leads: everybody lives for a whole length
-        from the election on, for an earlier leader may have said so just before."""
+        """Reset the leader's state once in each term that this voter leads. Every holder gets a
+        full lease duration from the election on, because an earlier leader may have renewed its
+        leases just before."""
         if self._led_term == self.raft.term:
             return
         self._led_term = self.raft.term
@@ -174,20 +176,24 @@
         self._earliest_expiry = self.raft.elected_at + self.terms.duration_ns
 
     def tick(self, now: int) -> None:
-        """End those whose time is over."""
+        """Propose the end of every holder whose time is over."""
         if now - self._last_tick_at > self.terms.duration_ns // 2 and self._led_term:
-            # Stopped for long, it has not read what holders asked meanwhile. They get more time.
+            # After a long pause of this process the requests of that time are still unread, so
+            # every holder gets more time.
             for holder in self.expiries:
                 self._extend(now, holder)
         self._last_tick_at = now
-        self._deaf = tuple(h for h in self._unheard if self.is_unreachable(now, h))[:DEAF_MOST]
+        self._unreachable = tuple(h for h in self._unheard if self.is_unreachable(now, h))[
+            :MAX_UNREACHABLE_REPORTED
+        ]
         self.raft.tick(now)
         self.queue_due_replies(now)
         if not self.raft.is_ready_leader:
             return
         ended = False
         for holder in list(self.table.names_by_holder):
-            # One whose grant was applied after this one was elected may never have asked it.
+            # A holder whose grant was applied after the election may never have sent a request to
+            # this leader.
             end = self.expiries.setdefault(
                 holder, max(self._earliest_expiry, now + self.terms.duration_ns)
             )
@@ -198,15 +204,16 @@
             self.raft.send_heartbeats(now)
 
     def next_due(self) -> int:
-        """When `tick` has something to do."""
+        """The time at which `tick` has to be called next."""
         due = [self.raft.due]
         if self.raft.is_ready_leader:
             due += [at for h, at in self.expiries.items() if h not in self._ending]
         return min(due)
 
     def take(self, now: int) -> RaftOutput:
-        """As `Raft.take`, with what is committed applied to the table. Answers that it makes
-        possible are in `answers`, to be sent behind what is to be kept."""
+        """Return what `Raft.take` returns, after applying the committed entries to the table.
+        Replies that become possible are added to `replies`; they must be sent only after the data
+        that has to be persisted is on disk."""
         out = self.raft.take()
         if out.installed is not None:
             self.table = LeaseTable.load(out.installed.data)
@@ -220,11 +227,11 @@
             for holder in [h for h in self.expiries if h not in self.table.names_by_holder]:
                 if holder not in self._ending:
                     del self.expiries[holder]
-            if len(self._latest_seq) > ASKED_MOST:
+            if len(self._latest_seq) > MAX_REMEMBERED_HOLDERS:
                 self._latest_seq = {
                     h: s for h, s in self._latest_seq.items() if h in self.table.names_by_holder
                 }
-            if len(self._unheard) > ASKED_MOST:
+            if len(self._unheard) > MAX_REMEMBERED_HOLDERS:
                 self._unheard = {
                     h: r for h, r in self._unheard.items() if h in self.table.names_by_holder
                 }
--- a/tansywood/lease/spread.py
+++ b/tansywood/lease/spread.py
@@ -1,7 +1,7 @@
-"""Who should have what: preference, spread, and whose turn it is when something is free. Pure.
+"""Distribution of leases over the members: ranking, and who is granted a lease that is free. Pure.
 
-Soft knowledge: it only says who asks and who hands over. That nobody holds what another has is the
-log's business, whatever is decided here.
+Decisions here only affect which instance requests a lease and which hands one over. The replicated
+log keeps a lease from having two holders, whatever is decided here.
 """
 
 from __future__ import annotations
@@ -12,46 +12,48 @@
 from tansywood.fleet.subsets import score
 from tansywood.fleet.turns import rank_members
 
-NEAR = 3  # instances that ask for one lease: a holder and two that would follow it
+CANDIDATE_COUNT = 3  # instances that request one lease: the holder and two that may follow it
 
 
 class Ranking:
-    """The first few members of every lease, kept as members come and go.
+    """The members that rank first for every lease, kept up to date as members join and leave.
 
-    One that joins costs a score for each lease; one that leaves costs a look at the leases that it
-    was among the first for. With 5,000 leases and 200 members sorting all anew takes a second.
+    A member that joins costs one score for each lease; a member that leaves costs a new ranking of
+    the leases that it ranked first for. Ranking 5,000 leases over 200 members anew takes a second.
     """
 
     def __init__(self) -> None:
         self.members: set[str] = set()
-        self._near: dict[str, list[tuple[float, str]]] = {}
+        self._candidates: dict[str, list[tuple[float, str]]] = {}
 
     def update(self, names: Iterable[str], members: Iterable[str]) -> None:
-        """Rank these names over these members from now on."""
-        wanted, there = set(names), set(members)
-        for name in [n for n in self._near if n not in wanted]:
-            del self._near[name]
-        left, joined = self.members - there, there - self.members
-        self.members = there
-        for name, row in list(self._near.items()):
+        """Set the leases and the members to rank."""
+        wanted, current = set(names), set(members)
+        for name in [n for n in self._candidates if n not in wanted]:
+            del self._candidates[name]
+        left, joined = self.members - current, current - self.members
+        self.members = current
+        for name, row in list(self._candidates.items()):
             if any(member in left for _, member in row):
-                del self._near[name]
+                del self._candidates[name]
                 continue
             for member in joined:
                 row.append((-score(member, name), member))
             if joined:
                 row.sort()
-                del row[NEAR:]
-        for name in wanted - self._near.keys():
-            self._near[name] = nsmallest(NEAR, ((-score(m, name), m) for m in there))
+                del row[CANDIDATE_COUNT:]
+        for name in wanted - self._candidates.keys():
+            self._candidates[name] = nsmallest(
+                CANDIDATE_COUNT, ((-score(m, name), m) for m in current)
+            )
 
-    def near(self, member: str) -> set[str]:
-        """The leases that this member is among the first few for."""
-        return {name for name, row in self._near.items() if any(m == member for _, m in row)}
+    def names_ranked_first(self, member: str) -> set[str]:
+        """The leases for which this member is one of the CANDIDATE_COUNT that rank first."""
+        return {name for name, row in self._candidates.items() if any(m == member for _, m in row)}
 
 
 def misplaced(names: Iterable[str], members: Iterable[str], me: str) -> dict[str, str]:
-    """Of what this one holds, what another is the first for, and who."""
+    """Of the held leases, those for which another member ranks first, with that member."""
     row = list(members)
     if not row:
         return {}
@@ -60,39 +62,40 @@
 
 
 class Waitlist:
-    """Who asked for what another has, at the voter that leads."""
+    """On the leader, the holders that requested a lease which another holder has."""
 
-    def __init__(self, patience: int) -> None:
-        """`patience`: nanoseconds after which an ask is forgotten."""
-        self.patience = patience
-        self.rows: dict[str, dict[str, int]] = {}  # by name: when each holder asked last
+    def __init__(self, timeout_ns: int) -> None:
+        """`timeout_ns` is the time after which a request is dropped from the waitlist."""
+        self.timeout_ns = timeout_ns
+        self.rows: dict[str, dict[str, int]] = {}  # by lease and holder: time of the last request
 
-    def heard(self, now: int, holder: str, names: Iterable[str]) -> None:
-        """A holder asked for these names, which others have."""
+    def record(self, now: int, holder: str, names: Iterable[str]) -> None:
+        """Record a holder's request for leases that others have."""
         for name in names:
             self.rows.setdefault(name, {})[holder] = now
 
     def assign(
         self, now: int, freed: Iterable[str], held: Mapping[str, int]
     ) -> list[tuple[str, str]]:
-        """Who gets each of what has become free: of those that asked lately whoever has least,
-        what it has just got included; nobody where nobody asked."""
+        """Choose the next holder of each lease that has become free: of the holders with a request
+        that is not too old, the one with the fewest leases, counting those assigned in this call.
+        A lease that nobody requested gets no holder."""
         counts = dict(held)
-        made = []
+        assigned = []
         for name in freed:
             row = self.rows.get(name, {})
-            lately = [h for h, at in row.items() if now - at <= self.patience]
-            if not lately:
+            recent = [h for h, at in row.items() if now - at <= self.timeout_ns]
+            if not recent:
                 continue
-            holder = min(lately, key=lambda h: (counts.get(h, 0), -score(h, name), h))
+            holder = min(recent, key=lambda h: (counts.get(h, 0), -score(h, name), h))
             counts[holder] = counts.get(holder, 0) + 1
-            made.append((name, holder))
+            assigned.append((name, holder))
             del row[holder]
-        return made
+        return assigned
 
     def sweep(self, now: int) -> None:
-        """Forget what was asked for too long ago."""
+        """Drop the requests that are older than the timeout."""
         for name, row in list(self.rows.items()):
-            self.rows[name] = {h: at for h, at in row.items() if now - at <= self.patience}
+            self.rows[name] = {h: at for h, at in row.items() if now - at <= self.timeout_ns}
             if not self.rows[name]:
                 del self.rows[name]
--- a/tansywood/lease/status.py
+++ b/tansywood/lease/status.py
@@ -1,4 +1,4 @@
-"""What a lease client tells people: its state, and why a lease has no holder. Pure."""
+"""Reports of a lease client for operators: its state, and why a lease has no holder. Pure."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def explain_holder(client: LeaseClient, now: int, name: str) -> list[str]:
-    """Who has a lease, or why nobody has, in sentences."""
+    """Sentences that say who holds a lease, or why nobody does."""
     voter = client.voter
     if voter is None:
         if client.should_vote:
@@ -24,7 +24,7 @@
             "no group of voters was founded, or none has taken this disk in: "
             "`tansywood lease found FILE` at one instance, once"
         ]
-    sentences = _about_leader(voter, now)
+    sentences = _describe_leader(voter, now)
     row = voter.service.table.leases.get(name)
     if row is None:
         asked = ", ".join(client.waitlist.rows.get(name, {}))
@@ -33,16 +33,16 @@
             + (f"asked by {asked}" if asked else "nobody asked for it lately")
         )
         return sentences
-    since = (now - voter.granted_at.get(name, now)) / SECOND
-    sentences.append(f"{row.holder} holds {name} by token {row.token}, for {since:.1f} s here")
+    held_s = (now - voter.granted_at.get(name, now)) / SECOND
+    sentences.append(f"{row.holder} holds {name} by token {row.token}, for {held_s:.1f} s here")
     if voter.leads:
-        left = (voter.service.expiries.get(row.holder, now) - now) / SECOND
-        sentences.append(f"it may be ended in {max(left, 0):.1f} s unless it renews")
+        remaining_s = (voter.service.expiries.get(row.holder, now) - now) / SECOND
+        sentences.append(f"it may be ended in {max(remaining_s, 0):.1f} s unless it renews")
     return sentences
 
 
-def _about_leader(voter: Voter, now: int) -> list[str]:
-    """That there is no leader, or that another leads; nothing where this voter does."""
+def _describe_leader(voter: Voter, now: int) -> list[str]:
+    """A sentence that there is no leader or that another voter leads; none on the leader."""
     raft = voter.raft
     if not raft.leader:
         return [
@@ -56,7 +56,7 @@
 
 
 def status(client: LeaseClient, now: int) -> dict[str, Any]:
-    """Of JSON's types. Times in it are seconds, but for `length_ms`."""
+    """The state as a mapping of JSON types. Times are seconds, except for `length_ms`."""
     holder = client.holder
     record: dict[str, Any] = {
         "name": client.name,
@@ -68,7 +68,7 @@
             {
                 "name": name,
                 "token": token,
-                "for_s": round((now - client.holding.got.get(name, (0, now))[1]) / SECOND, 1),
+                "for_s": round((now - client.holding.granted.get(name, (0, now))[1]) / SECOND, 1),
                 "left_s": round((holder.valid_until - now) / SECOND, 2),
             }
             for name, token in sorted(holder.leases.items())
@@ -80,20 +80,20 @@
         ],
     }
     if client.voter is not None:
-        record["voter"] = _voter(client.voter, now)
+        record["voter"] = _voter_status(client.voter, now)
     record["leases"] = [
         {
             "name": name,
-            "holder": who,
+            "holder": owner,
             "token": token,
-            "for_s": None if since is None else round(since, 1),
+            "for_s": None if held_s is None else round(held_s, 1),
         }
-        for name, who, token, since in _leases(client, now)
+        for name, owner, token, held_s in _lease_rows(client, now)
     ]
     return record
 
 
-def _voter(voter: Voter, now: int) -> dict[str, Any]:
+def _voter_status(voter: Voter, now: int) -> dict[str, Any]:
     raft = voter.raft
     return {
         "id": voter.id,
@@ -110,8 +110,8 @@
     }
 
 
-def _leases(client: LeaseClient, now: int) -> list[tuple[str, str, int, float | None]]:
-    """Name, holder, token, and for how long in seconds where the voter here knows it."""
+def _lease_rows(client: LeaseClient, now: int) -> list[tuple[str, str, int, float | None]]:
+    """Name, holder, token and age in seconds of each lease; no age without a voter here."""
     voter = client.voter
     if voter is None:
         return [(name, holder, token, None) for name, holder, token in client.table]
--- a/tests/lease/test_client.py
+++ b/tests/lease/test_client.py
@@ -14,7 +14,7 @@
 from tansywood.lease.messages import LeaseRequest
 from tansywood.lease.raft import MS
 from tansywood.lease.service import LeaseService
-from tansywood.lease.spread import NEAR, Ranking
+from tansywood.lease.spread import CANDIDATE_COUNT, Ranking
 from tansywood.lease.terms import SECOND, LeaseTerms
 
 TERMS = LeaseTerms(duration_ns=SECOND, renew_interval_ns=SECOND // 4)
@@ -126,7 +126,7 @@
 def test_without_a_look_at_what_it_said_before_a_restored_voter_votes_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(LeaseClient, "_honest", lambda *_args: True)
+    monkeypatch.setattr(LeaseClient, "_has_all_saves", lambda *_args: True)
     with pytest.raises(AssertionError):
         test_a_voter_restored_from_an_older_copy_is_put_aside_and_taken_in_anew()
 
@@ -322,14 +322,18 @@
     names, members = [f"t{n}" for n in range(300)], [f"m{n}" for n in range(20)]
     ranking = Ranking()
     ranking.update(names, members)
-    before = {m: ranking.near(m) for m in members}
-    assert sum(map(len, before.values())) == NEAR * len(names)
+    before = {m: ranking.names_ranked_first(m) for m in members}
+    assert sum(map(len, before.values())) == CANDIDATE_COUNT * len(names)
     ranking.update(names, [*members, "new"])
-    assert all(ranking.near(m) <= before[m] for m in members)
+    assert all(ranking.names_ranked_first(m) <= before[m] for m in members)
     ranking.update(names, members)
     anew = Ranking()
     anew.update(names, members)
-    assert {m: ranking.near(m) for m in members} == {m: anew.near(m) for m in members} == before
+    assert (
+        {m: ranking.names_ranked_first(m) for m in members}
+        == {m: anew.names_ranked_first(m) for m in members}
+        == before
+    )
 
 
 def test_pieces_come_together_in_any_order_and_a_missing_one_loses_the_whole() -> None:
