--- a/tests/lease/test_client.py
+++ b/tests/lease/test_client.py
@@ -1,4 +1,5 @@
-"""Lease clients of whole fleets in simulated time: nobody acts beside another, whatever fails."""
+"""Lease clients of whole fleets in simulated time. No fault may let two instances act under one
+lease at the same time."""
 
 from __future__ import annotations
 
@@ -30,7 +31,7 @@
 
 
 def all_held(w: LeaseWorld) -> bool:
-    """Now, or once a hand-over that is under way has come to its end."""
+    """Whether every lease is held, waiting up to 0.5 s for a hand-over that is under way."""
     for _ in range(10):
         if sorted(w.held()) == LEASES:
             return True
@@ -38,8 +39,8 @@
     return False
 
 
-def whole(w: LeaseWorld) -> None:
-    """Everything is held, by whoever, once all is well for a while."""
+def wait_until_all_held(w: LeaseWorld) -> None:
+    """End all faults, start what is stopped, and fail unless every lease is held within 10 s."""
     w.cut.clear()
     w.loss = w.twice = w.late = 0.0
     for place in w.places.values():
@@ -52,11 +53,11 @@
         w.run(0.25)
         if sorted(w.held()) == sorted(w.common):
             return
-    raise AssertionError(f"not all is held: {w.held()}")
+    raise AssertionError(f"after 10 s without faults some leases have no holder; held: {w.held()}")
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_nobody_acts_beside_another_whatever_fails(seed: int) -> None:
+def test_no_fault_lets_two_instances_act_under_one_lease(seed: int) -> None:
     w = world(seed, rates=(1.0, 1.04, 0.96))
     rng = Random(seed)
     for _ in range(40):
@@ -83,12 +84,12 @@
                 elif other.stopped:
                     w.go(other.name)
         w.run(rng.uniform(0.1, 1.2))
-    whole(w)
+    wait_until_all_held(w)
     assert len(w.grants) > 2 * len(LEASES)
 
 
-def test_without_the_margin_between_two_clocks_it_breaks() -> None:
-    def play(skew: float) -> None:
+def test_without_a_clock_skew_margin_two_holders_act_at_once() -> None:
+    def run_with_skew(skew: float) -> None:
         terms = LeaseTerms(
             duration_ns=SECOND, max_clock_skew_fraction=skew, renew_interval_ns=SECOND // 4
         )
@@ -99,12 +100,12 @@
             w.cut.clear()
             w.run(6.0)
 
-    play(0.16)
+    run_with_skew(0.16)
     with pytest.raises(Broken):
-        play(0.0)
+        run_with_skew(0.0)
 
 
-def test_a_voter_restored_from_an_older_copy_is_put_aside_and_taken_in_anew() -> None:
+def test_voter_restored_from_an_older_disk_copy_rejoins_with_a_new_disk() -> None:
     w = world()
     copy = w.places["b"].disk
     assert copy is not None
@@ -120,18 +121,18 @@
     client = w.places["b"].client
     assert client is not None and client.voter is not None
     assert client.voter.id != copy.id and client.voter.id in w.raft().voters
-    whole(w)
+    wait_until_all_held(w)
 
 
-def test_without_a_look_at_what_it_said_before_a_restored_voter_votes_again(
+def test_without_the_check_of_saves_a_restored_voter_votes_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(LeaseClient, "_has_all_saves", lambda *_args: True)
     with pytest.raises(AssertionError):
-        test_a_voter_restored_from_an_older_copy_is_put_aside_and_taken_in_anew()
+        test_voter_restored_from_an_older_disk_copy_rejoins_with_a_new_disk()
 
 
-def test_an_empty_disk_under_an_old_name_is_another_voter() -> None:
+def test_blank_disk_under_an_old_name_is_a_new_voter() -> None:
     w = world()
     old = w.places["c"].disk
     w.end("c")
@@ -143,22 +144,22 @@
     assert new.id in voters and old.id not in voters and len(voters) == 3
 
 
-def test_without_a_majority_nobody_acts_and_all_goes_on_with_one() -> None:
+def test_without_a_majority_no_lease_is_held_until_a_majority_returns() -> None:
     w = world()
     w.end("a")
     w.end("b")
     w.run(1.5)
     assert w.held() == {}
-    told = [
+    reports = [
         p.client.explain_holder(w.clock(p), "l0")
         for p in w.places.values()
         if p.client and p.client.voter
     ]
-    assert any("a majority" in line for lines in told for line in lines)
-    whole(w)
+    assert any("a majority" in line for lines in reports for line in lines)
+    wait_until_all_held(w)
 
 
-def test_voters_change_one_at_a_time_under_load_from_one_to_five_and_back() -> None:
+def test_voters_change_one_at_a_time_without_losing_leases() -> None:
     w = LeaseWorld("abcde", "a", 2)
     w.found()
     w.want(LEASES)
@@ -177,7 +178,7 @@
         assert all_held(w)
 
 
-def test_two_groups_that_meet_take_nothing_of_one_another() -> None:
+def test_groups_that_meet_do_not_merge_their_voters() -> None:
     w = world(names="abcdef", voters="abc")
     other = w.places["d"]
     assert other.client is not None
@@ -193,7 +194,7 @@
     assert len(w.raft().voters) == 3
 
 
-def test_who_goes_by_another_length_is_not_heard() -> None:
+def test_instance_with_another_lease_duration_is_ignored() -> None:
     w = world()
     client = w.places["e"].client
     assert client is not None
@@ -204,9 +205,9 @@
     assert sum(p.client.counts["length"] for p in w.places.values() if p.client) > 0
 
 
-def test_nobody_asks_in_anothers_name() -> None:
+def test_request_under_another_holders_id_is_refused() -> None:
     w = world()
-    w.run(12.0)  # all is where it belongs
+    w.run(12.0)  # until every lease is at the member that ranks first for it
     mine, other = w.places["d"].client, w.places["e"].client
     assert mine is not None and other is not None
     give = tuple((n, t, mine.holder.name) for n, t in w.leader_table() if n in w.held())
@@ -218,28 +219,29 @@
     assert w.client(w.leader().name).counts["stale"] > 0 and w.leader_table() == table
 
 
-def test_a_one_way_cut_makes_no_leader_fall_over_and_over() -> None:
+def test_one_way_cut_causes_no_repeated_elections() -> None:
     w = world()
     leader = w.leader()
-    deaf = next(n for n in "abc" if n != leader.name)
-    w.cut = {(leader.name, deaf)}  # it hears nothing of the leader, all hear it
+    unreachable = next(n for n in "abc" if n != leader.name)
+    # It receives nothing from the leader, but all others receive its messages.
+    w.cut = {(leader.name, unreachable)}
     before = w.raft().term
     w.run(10.0)
     assert w.raft().term <= before + 1
     assert all_held(w)
-    # It hears no answer either: what it had is not kept by its asking.
-    assert deaf not in w.held().values()
+    # The replies do not reach it either, so its requests must not renew its leases.
+    assert unreachable not in w.held().values()
 
 
-def test_without_a_word_that_answers_are_heard_a_lease_is_stuck(
+def test_without_the_check_for_lost_replies_a_lease_stays_with_an_unreachable_holder(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(LeaseService, "is_unreachable", lambda *_args: False)
     with pytest.raises(AssertionError):
-        test_a_one_way_cut_makes_no_leader_fall_over_and_over()
+        test_one_way_cut_causes_no_repeated_elections()
 
 
-def test_a_slow_disk_at_one_voter_of_three_holds_nobody_up() -> None:
+def test_slow_disk_at_one_voter_of_three_delays_no_grant() -> None:
     w = world()
     slow = next(n for n in "abc" if n != w.leader().name)
     w.places[slow].disk_ns = 5 * SECOND
@@ -250,7 +252,7 @@
     assert all_held(w) and len(w.grants) > count
 
 
-def test_a_full_disk_is_no_vote_and_no_lie() -> None:
+def test_voter_whose_disk_fails_stops_voting() -> None:
     w = world()
     full = next(n for n in "abc" if n != w.leader().name)
     w.places[full].failing = True
@@ -259,10 +261,10 @@
     client = w.places[full].client
     assert client is not None and client.voter is None and "disk" in client.voter_down_reason
     assert all_held(w)
-    whole(w)
+    wait_until_all_held(w)
 
 
-def test_what_a_dead_holder_of_a_thousand_had_is_spread_without_a_storm() -> None:
+def test_leases_of_a_dead_holder_are_spread_with_few_messages() -> None:
     w = LeaseWorld("abcdefgh", "abc", 4, watched=False)
     w.found()
     w.want([f"big-{n}" for n in range(1000)])
@@ -278,27 +280,28 @@
     assert len(after) == 1000 and most not in after
     counts = [after.count(n) for n in set(after)]
     assert max(counts) < 2.5 * 1000 / 7
-    # Two seconds: eight renewals of seven, the log, and what they got; far from one each.
+    # In two seconds the seven others send eight renewals each, and the log and the grants are
+    # replicated. One message per lease and instance would be far more.
     assert w.sent["all"] - before < 1500
 
 
-def test_drained_it_hands_over_without_a_gap_of_a_lease() -> None:
+def test_draining_instance_hands_its_leases_over_within_half_a_second() -> None:
     w = world()
     w.run(12.0)
-    one = next(n for n in "de" if n in w.held().values())
-    mine = [n for n, who in w.held().items() if who == one]
-    client = w.places[one].client
+    draining = next(n for n in "de" if n in w.held().values())
+    mine = [n for n, who in w.held().items() if who == draining]
+    client = w.places[draining].client
     assert client is not None
     began = w.now
     client.placement.draining = True
     w.know()
     w.run(1.0)
-    assert one not in w.held().values() and all_held(w)
+    assert draining not in w.held().values() and all_held(w)
     took = [at - began for at, name, _ in w.grants if at > began and name in mine]
     assert len(took) >= len(mine) and max(took) < SECOND // 2
 
 
-def test_who_goes_on_alone_gives_tokens_beyond_all_that_were_given() -> None:
+def test_refounded_group_grants_tokens_beyond_all_earlier_ones() -> None:
     w = world()
     newest = max(w.newest.values())
     w.end("a")
@@ -318,7 +321,7 @@
     assert all(w.newest[n] > newest + (1 << 31) for n in LEASES)
 
 
-def test_few_ask_for_one_lease_and_a_member_moves_only_its_own() -> None:
+def test_ranking_names_three_members_per_lease_and_a_join_adds_to_no_other() -> None:
     names, members = [f"t{n}" for n in range(300)], [f"m{n}" for n in range(20)]
     ranking = Ranking()
     ranking.update(names, members)
@@ -327,30 +330,30 @@
     ranking.update(names, [*members, "new"])
     assert all(ranking.names_ranked_first(m) <= before[m] for m in members)
     ranking.update(names, members)
-    anew = Ranking()
-    anew.update(names, members)
+    fresh = Ranking()
+    fresh.update(names, members)
     assert (
         {m: ranking.names_ranked_first(m) for m in members}
-        == {m: anew.names_ranked_first(m) for m in members}
+        == {m: fresh.names_ranked_first(m) for m in members}
         == before
     )
 
 
-def test_pieces_come_together_in_any_order_and_a_missing_one_loses_the_whole() -> None:
+def test_fragments_are_reassembled_in_any_order_and_only_when_complete() -> None:
     data = bytes(range(256)) * 20
     rows = split_message(data)
     fragments = [Fragment("g", "s", "t", 0, 1, 7, n, len(rows), d) for n, d in enumerate(rows)]
-    pieces = Reassembly()
+    reassembly = Reassembly()
     for fragment in (*fragments[:0:-1], fragments[1]):
-        assert pieces.take(0, b"life", fragment) is None
-    assert pieces.take(0, b"life", fragments[0]) == data
-    assert pieces.take(0, b"life", fragments[0]) is None
+        assert reassembly.take(0, b"life", fragment) is None
+    assert reassembly.take(0, b"life", fragments[0]) == data
+    assert reassembly.take(0, b"life", fragments[0]) is None
     assert max(map(len, rows)) == FRAGMENT_BYTES
     with pytest.raises(ValueError, match="at most"):
         split_message(bytes(5_000_000))
 
 
-def test_a_blank_disk_is_founded_once() -> None:
+def test_blank_disk_can_be_founded_only_once() -> None:
     client = LeaseClient("a", b"1" * 16, ("a",), TERMS, Random(1))
     assert "no voter here" in client.found(0, "g")
     client.start_voter(0, DiskContents("a/1"))
@@ -358,21 +361,22 @@
     assert "being written" in client.found(0, "h") or "already" in client.found(0, "h")
 
 
-def test_what_is_handed_over_ends_here_at_once() -> None:
+def test_handed_over_lease_is_unusable_at_once() -> None:
     w = world()
     name, who = next(iter(w.held().items()))
     client, place = w.client(who), w.places[who]
     to = next(n for n in w.places if n != who)
     assert client.hand_over(w.clock(place), name, to) == ""
     assert client.usable_token(w.clock(place), name) == 0
-    assert client.take_lost(w.clock(place)) == [name]  # its task is ended by this
+    # The caller ends the task of each lease that take_lost returns.
+    assert client.take_lost(w.clock(place)) == [name]
     assert "not held" in client.hand_over(w.clock(place), name, to)
     assert "no member" in client.hand_over(
         w.clock(place), next(iter(client.holder.leases)), "nobody"
     )
 
 
-def test_only_its_owner_asks_for_a_lease_that_belongs_to_one_while_that_is_there() -> None:
+def test_lease_with_a_home_address_returns_there_with_one_move() -> None:
     w = LeaseWorld("abcd", "abc", 1)
     w.found()
     for place in w.places.values():
@@ -382,10 +386,10 @@
     assert w.held() == {"home": "d"}
     w.end("d")
     w.run(5.0)
-    stand_in = w.held()["home"]
-    assert stand_in != "d"
+    substitute = w.held()["home"]
+    assert substitute != "d"
     w.start("d")
     w.client("d").placement.home_addresses = {"home": "d"}
     w.run(14.0)
-    assert w.held() == {"home": "d"}  # back where it belongs, by one move
-    assert [who for _, name, who in w.grants if name == "home"] == ["d", stand_in, "d"]
+    assert w.held() == {"home": "d"}  # back at its home address
+    assert [who for _, name, who in w.grants if name == "home"] == ["d", substitute, "d"]
--- a/tests/lease/test_layout.py
+++ b/tests/lease/test_layout.py
@@ -1,5 +1,5 @@
-"""The bytes between lease clients, as they were recorded before names in the program changed. An
-instance of an older version reads and sends exactly these."""
+"""The encoding of messages between lease clients, compared with recorded bytes. Instances of older
+versions send and read exactly these bytes, so renamed fields must not change them."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
     ],
     ids=lambda value: None if isinstance(value, str) else type(value).__name__,
 )
-def test_a_message_is_these_bytes_and_is_read_from_them(message: ClientMessage, data: str) -> None:
+def test_message_encoding_matches_the_recorded_bytes(message: ClientMessage, data: str) -> None:
     assert pack(message).hex() == data
     assert unpack(bytes.fromhex(data)) == message
 
 
-def test_a_fragment_is_these_bytes_and_is_read_from_them() -> None:
+def test_fragment_encoding_matches_the_recorded_bytes() -> None:
     fragment = Fragment("g", "a/1", "b/2", 3, 800, 7, 1, 2, b"x")
     data = "9aa16ca167a3612f31a3622f3203cd0320070102c40178"
     assert msgspec.msgpack.encode(fragment).hex() == data
