--- a/tests/lease/test_processes.py
+++ b/tests/lease/test_processes.py
@@ -42,7 +42,7 @@
 
 
 def run_with_paused_holder(fenced: bool) -> LeaseRig:
-    """Instance a is paused while it holds the lease; b gets it and acts, then a's operation arrives."""
+    """Instance a is paused while it holds the lease; b gets it and acts; then a acts late."""
 
     async def scenario(rig: LeaseRig) -> None:
         a, b = rig.stations["a"], rig.stations["b"]
