--- a/tansywood/lease/client.py
+++ b/tansywood/lease/client.py
@@ -314,7 +314,7 @@
 
     def _grant_freed(self, now: int, voter: Voter, changes: list[TableChange]) -> None:
         freed = [name for change in changes for name in change.freed]
-        waited = {w.ask.holder for w in voter.service.pending_requests}
+        waited = {w.request.holder for w in voter.service.pending_requests}
         for holder in {h for change in changes for _, h in change.granted} - waited:
             # The holder has no open request: the notice makes it send one and learn of the grant.
             self._send(now, holder, GrantNotice())
--- a/tansywood/lease/service.py
+++ b/tansywood/lease/service.py
@@ -35,7 +35,7 @@
     """A request that is answered after a majority has confirmed this voter as the leader."""
 
     sender: str
-    ask: LeaseRequest
+    request: LeaseRequest
     round: int
     index: int  # the log index that must be applied before the reply
     term: int
@@ -57,12 +57,12 @@
         self._led_term = 0  # the term in which `expiries` was started
         self._earliest_expiry = 0  # earliest end of holders without a request in that term
         self._last_tick_at = 0
-        self._ending: dict[str, int] = {}  # log index of the EndHolder entry, by holder
-        self._taking: dict[tuple[str, str], int] = {}
+        self._pending_ends: dict[str, int] = {}  # log index of the EndHolder entry, by holder
+        self._pending_acquires: dict[tuple[str, str], int] = {}  # by name and holder: log index
         self._latest_seq: dict[str, int] = {}  # by holder: its latest request in this term
         # By holder: the number of the first reply that the holder has not acknowledged, the time of
         # that reply, and the time of the latest request that did not acknowledge it.
-        self._unheard: dict[str, tuple[int, int, int]] = {}
+        self._unacknowledged: dict[str, tuple[int, int, int]] = {}
         self._unreachable: tuple[str, ...] = ()  # unreachable holders at the last tick
 
     # ---- requests ------------------------------------------------------------------------------
@@ -73,20 +73,20 @@
         if not raft.is_ready_leader:
             self.replies.append((sender, LeaseReply(request.seq, False, (), raft.leader)))
             return
-        self._lead(now)
+        self._start_term(now)
         if request.seq <= self._latest_seq.get(request.holder, 0):
             return  # a duplicate, or older than a request whose reply covers it
         self._latest_seq[request.holder] = request.seq
-        if request.last_reply_seq >= self._unheard.get(request.holder, (0, 0, 0))[0]:
-            self._unheard.pop(request.holder, None)
+        if request.last_reply_seq >= self._unacknowledged.get(request.holder, (0, 0, 0))[0]:
+            self._unacknowledged.pop(request.holder, None)
         else:
-            self._unheard[request.holder] = (*self._unheard[request.holder][:2], now)
+            self._unacknowledged[request.holder] = (*self._unacknowledged[request.holder][:2], now)
         index = 0
         for name in () if self.is_unreachable(now, request.holder) else request.acquire:
             known = self.table.leases.get(name)
-            if known is None and (name, request.holder) not in self._taking:
+            if known is None and (name, request.holder) not in self._pending_acquires:
                 index = raft.propose(pack(AcquireLease(name, request.holder)))
-                self._taking[name, request.holder] = index
+                self._pending_acquires[name, request.holder] = index
         for name, token, to in request.release:
             known = self.table.leases.get(name)
             if known is not None and known.token == token and known.holder == request.holder:
@@ -97,7 +97,9 @@
                     self._extend(now, to)
         round_ = raft.begin_round(now)
         pending = _PendingRequest(sender, request, round_, max(index, raft.commit_index), raft.term)
-        self.pending_requests = [w for w in self.pending_requests if w.ask.holder != request.holder]
+        self.pending_requests = [
+            w for w in self.pending_requests if w.request.holder != request.holder
+        ]
         self.pending_requests.append(pending)
         self.queue_due_replies(now)
 
@@ -105,13 +107,19 @@
         """Propose a free lease for a holder that requested it while another had it, as if the
         request had come again. The holder learns of the grant from the reply to its next request;
         until then its leases last a full lease duration. False if the grant is not possible."""
-        if not self.raft.is_ready_leader or holder in self._ending or name in self.table.leases:
+        if (
+            not self.raft.is_ready_leader
+            or holder in self._pending_ends
+            or name in self.table.leases
+        ):
             return False
         if self.is_unreachable(now, holder):
             return False
-        self._lead(now)
-        if (name, holder) not in self._taking:
-            self._taking[name, holder] = self.raft.propose(pack(AcquireLease(name, holder)))
+        self._start_term(now)
+        if (name, holder) not in self._pending_acquires:
+            self._pending_acquires[name, holder] = self.raft.propose(
+                pack(AcquireLease(name, holder))
+            )
             self._extend(now, holder)
         return True
 
@@ -120,7 +128,7 @@
         because the network loses the replies. If its requests alone renewed its leases, nobody
         could act on them as long as the cut lasts. A holder that has ended, or wants no lease any
         more, sends no requests and is not counted as unreachable."""
-        row = self._unheard.get(holder)
+        row = self._unacknowledged.get(holder)
         length = self.terms.duration_ns
         return row is not None and row[2] - row[1] > length and now - row[2] <= 2 * length
 
@@ -128,48 +136,52 @@
         """Queue the replies that have become possible. To be called after any change of the log."""
         if not self.raft.is_ready_leader:
             for w in self.pending_requests:
-                self.replies.append((w.sender, LeaseReply(w.ask.seq, False, (), self.raft.leader)))
+                self.replies.append(
+                    (w.sender, LeaseReply(w.request.seq, False, (), self.raft.leader))
+                )
             self.pending_requests.clear()
             return
-        self._lead(now)
+        self._start_term(now)
         kept = []
         for w in self.pending_requests:
             if w.term != self.raft.term:
                 continue
             if self.raft.is_round_confirmed(w.round) and self.raft.applied >= w.index:
-                self._answer(now, w)
+                self._queue_reply(now, w)
             else:
                 kept.append(w)
         self.pending_requests = kept
 
-    def _answer(self, now: int, w: _PendingRequest) -> None:
-        holder = w.ask.holder
-        if holder in self._ending:
+    def _queue_reply(self, now: int, w: _PendingRequest) -> None:
+        holder = w.request.holder
+        if holder in self._pending_ends:
             # The log already ends this holder, so the reply must not renew its leases.
-            self.replies.append((w.sender, LeaseReply(w.ask.seq, False, (), self.raft.name)))
+            self.replies.append((w.sender, LeaseReply(w.request.seq, False, (), self.raft.name)))
             return
         names = sorted(self.table.names_by_holder.get(holder, ()))
         if names and self.is_unreachable(now, holder):
             return  # no reply and no extension: its leases run out
-        self._unheard.setdefault(holder, (w.ask.seq, now, now))
+        self._unacknowledged.setdefault(holder, (w.request.seq, now, now))
         self._extend(now, holder)
         leases = tuple((name, self.table.leases[name].token) for name in names)
-        self.replies.append((w.sender, LeaseReply(w.ask.seq, True, leases, "", self._unreachable)))
+        self.replies.append(
+            (w.sender, LeaseReply(w.request.seq, True, leases, "", self._unreachable))
+        )
 
     def _extend(self, now: int, holder: str) -> None:
         self.expiries[holder] = max(self.expiries.get(holder, 0), now + self.terms.duration_ns)
 
-    def _lead(self, now: int) -> None:
+    def _start_term(self, now: int) -> None:
         """Reset the leader's state once in each term that this voter leads. Every holder gets a
         full lease duration from the election on, because an earlier leader may have renewed its
         leases just before."""
         if self._led_term == self.raft.term:
             return
         self._led_term = self.raft.term
-        self._ending.clear()
-        self._taking.clear()
+        self._pending_ends.clear()
+        self._pending_acquires.clear()
         self._latest_seq.clear()
-        self._unheard.clear()
+        self._unacknowledged.clear()
         self.expiries = {
             h: self.raft.elected_at + self.terms.duration_ns for h in self.table.names_by_holder
         }
@@ -183,7 +195,7 @@
             for holder in self.expiries:
                 self._extend(now, holder)
         self._last_tick_at = now
-        self._unreachable = tuple(h for h in self._unheard if self.is_unreachable(now, h))[
+        self._unreachable = tuple(h for h in self._unacknowledged if self.is_unreachable(now, h))[
             :MAX_UNREACHABLE_REPORTED
         ]
         self.raft.tick(now)
@@ -197,8 +209,8 @@
             end = self.expiries.setdefault(
                 holder, max(self._earliest_expiry, now + self.terms.duration_ns)
             )
-            if now >= end and holder not in self._ending:
-                self._ending[holder] = self.raft.propose(pack(EndHolder(holder)))
+            if now >= end and holder not in self._pending_ends:
+                self._pending_ends[holder] = self.raft.propose(pack(EndHolder(holder)))
                 ended = True
         if ended:
             self.raft.send_heartbeats(now)
@@ -207,7 +219,7 @@
         """The time at which `tick` has to be called next."""
         due = [self.raft.due]
         if self.raft.is_ready_leader:
-            due += [at for h, at in self.expiries.items() if h not in self._ending]
+            due += [at for h, at in self.expiries.items() if h not in self._pending_ends]
         return min(due)
 
     def take(self, now: int) -> RaftOutput:
@@ -222,18 +234,20 @@
                 self.on_change(index, self.table.apply(index, entry.data))
         if out.committed:
             applied = self.raft.applied
-            self._ending = {h: i for h, i in self._ending.items() if i > applied}
-            self._taking = {k: i for k, i in self._taking.items() if i > applied}
+            self._pending_ends = {h: i for h, i in self._pending_ends.items() if i > applied}
+            self._pending_acquires = {
+                k: i for k, i in self._pending_acquires.items() if i > applied
+            }
             for holder in [h for h in self.expiries if h not in self.table.names_by_holder]:
-                if holder not in self._ending:
+                if holder not in self._pending_ends:
                     del self.expiries[holder]
             if len(self._latest_seq) > MAX_REMEMBERED_HOLDERS:
                 self._latest_seq = {
                     h: s for h, s in self._latest_seq.items() if h in self.table.names_by_holder
                 }
-            if len(self._unheard) > MAX_REMEMBERED_HOLDERS:
-                self._unheard = {
-                    h: r for h, r in self._unheard.items() if h in self.table.names_by_holder
+            if len(self._unacknowledged) > MAX_REMEMBERED_HOLDERS:
+                self._unacknowledged = {
+                    h: r for h, r in self._unacknowledged.items() if h in self.table.names_by_holder
                 }
             self.queue_due_replies(now)
             if applied - self.raft.snapshot.index >= self.snapshot_every:
--- a/tansywood/verify/identity.py
+++ b/tansywood/verify/identity.py
@@ -48,11 +48,11 @@
         tuple(sorted((h, max(e - clock, 0)) for h, e in k.expiries.items())),
         k._led_term,
         k._earliest_expiry,
-        tuple(sorted(k._ending.items())),
-        tuple(sorted(k._taking.items())),
+        tuple(sorted(k._pending_ends.items())),
+        tuple(sorted(k._pending_acquires.items())),
         tuple(sorted(k._latest_seq.items())),
-        tuple(sorted((h, s, clock - at, clock - a) for h, (s, at, a) in k._unheard.items())),
-        tuple((w.sender, w.ask, w.round, w.index, w.term) for w in k.pending_requests),
+        tuple(sorted((h, s, clock - at, clock - a) for h, (s, at, a) in k._unacknowledged.items())),
+        tuple((w.sender, w.request, w.round, w.index, w.term) for w in k.pending_requests),
         r.round,
     )
 
--- a/tansywood/verify/leases.py
+++ b/tansywood/verify/leases.py
@@ -276,7 +276,7 @@
             due = [
                 h
                 for h in service.table.names_by_holder
-                if h not in service._ending and world.clock >= service.expiries.get(h, 0)
+                if h not in service._pending_ends and world.clock >= service.expiries.get(h, 0)
             ]
             if not due:
                 return None
--- a/tests/lease/test_checker.py
+++ b/tests/lease/test_checker.py
@@ -101,7 +101,7 @@
 
 
 def test_without_the_new_leaders_wait(monkeypatch: Patch) -> None:
-    lead = LeaseService._lead
+    lead = LeaseService._start_term
 
     def at_once(self: LeaseService, now: int) -> None:
         if self._led_term != self.raft.term:
@@ -109,7 +109,7 @@
             self.expiries = dict.fromkeys(self.expiries, now)
             self._earliest_expiry = now
 
-    monkeypatch.setattr(LeaseService, "_lead", at_once)
+    monkeypatch.setattr(LeaseService, "_start_term", at_once)
     assert found(EXPIRY).broken.startswith("two holders may act")
 
 
@@ -120,14 +120,14 @@
 
 
 def test_without_the_word_that_an_end_is_on_its_way(monkeypatch: Patch) -> None:
-    answer: Callable[..., None] = LeaseService._answer
+    answer: Callable[..., None] = LeaseService._queue_reply
 
     def anyhow(self: LeaseService, now: int, w: Any) -> None:
-        self._ending, ending = {}, self._ending
+        self._pending_ends, ending = {}, self._pending_ends
         answer(self, now, w)
-        self._ending = ending
+        self._pending_ends = ending
 
-    monkeypatch.setattr(LeaseService, "_answer", anyhow)
+    monkeypatch.setattr(LeaseService, "_queue_reply", anyhow)
     made = found(TWO)
     assert made.broken.startswith("two holders may act")
 
