--- a/tansywood/lease/disk.py
+++ b/tansywood/lease/disk.py
@@ -1,7 +1,7 @@
-"""A voter's disk: what it promised, in the store, each change one synced batch.
+"""A voter's disk: the voter's persistent state in the store; every change is one synced batch.
 
-A disk has an id that is drawn when it is first used. A voter is that id: the same machine with
-another disk is another voter, which nobody has asked for anything yet.
+A disk gets a random id when it is first used, and that id identifies the voter. The same machine
+with another disk is another voter, which has voted for nobody and acknowledged no entry.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 
 class DiskError(ValueError):
-    """What lies there can't be gone by; the text says what to do."""
+    """The disk's content can't be used. The message says what the operator has to do."""
 
 
 class Meta(Struct, array_like=True, frozen=True):
-    """All of a voter but its entries and the snapshot's bytes."""
+    """Everything a voter stores apart from its log entries and the snapshot's data."""
 
     format: int
     id: str
@@ -32,16 +32,16 @@
     saves: int
     term: int
     vote: str
-    index: int  # of the snapshot
-    index_term: int
+    index: int  # the snapshot's index
+    index_term: int  # the snapshot's term
     voters: tuple[str, ...]
-    last: int  # of the entries
-    known_saves: dict[str, int] = {}  # of other voters: how many saves they had told of
+    last: int  # index of the last entry
+    known_saves: dict[str, int] = {}  # by id of another voter: the saves it reported
 
 
 @dataclass(slots=True)
 class DiskContents:
-    """What a disk holds."""
+    """The decoded content of a voter's disk."""
 
     id: str
     group: str = ""
@@ -51,29 +51,34 @@
 
 
 def entry_key(index: int) -> bytes:
-    """The key of a place of the log in the store."""
+    """The key in the store of the log entry at this index."""
     return ENTRY + index.to_bytes(8, "big")
 
 
 def load(store: Store) -> DiskContents | None:
-    """What was saved last, whole; None of a disk that was never used. DiskError."""
+    """Reads a disk's content; None for a disk that was never used. Raises DiskError."""
     data = store.get(META)
     if data is None:
         if next(iter(store.scan()), None) is not None:
-            raise DiskError("the folder holds something that is no voter's: name another")
+            raise DiskError("the folder holds files that no voter wrote: name another")
         return None
     try:
         meta = msgspec.msgpack.decode(data, type=Meta)
         if meta.format != FORMAT:
-            raise DiskError(f"format {meta.format}, this version knows {FORMAT}: run a newer one")
+            raise DiskError(
+                f"the disk has format {meta.format}, this version knows format {FORMAT}: "
+                "run a newer version"
+            )
         entries = []
         for index in range(meta.index + 1, meta.last + 1):
-            row = store.get(entry_key(index))
-            if row is None:
+            encoded = store.get(entry_key(index))
+            if encoded is None:
                 raise DiskError(f"entry {index} is missing: take the disk out and start blank")
-            entries.append(msgspec.msgpack.decode(row, type=Entry))
+            entries.append(msgspec.msgpack.decode(encoded, type=Entry))
     except msgspec.MsgspecError as err:
-        raise DiskError(f"can't be read ({err}): take the disk out and start blank") from None
+        raise DiskError(
+            f"the voter's disk can't be decoded ({err}): take the disk out and start blank"
+        ) from None
     snapshot = Snapshot(meta.index, meta.index_term, meta.voters, store.get(SNAPSHOT) or b"")
     return DiskContents(
         meta.id,
@@ -84,44 +89,48 @@
     )
 
 
-def _common(old: PersistentState, new: PersistentState) -> int:
-    """The last index up to which both logs are the same: equal terms at one index mean equal
-    logs up to it (Ongaro, 3.5, log matching)."""
-    low = max(old.snapshot.index, new.snapshot.index)
-    high = min(old.snapshot.index + len(old.entries), new.snapshot.index + len(new.entries))
-    for index in range(high, low, -1):
-        a = old.entries[index - old.snapshot.index - 1]
-        b = new.entries[index - new.snapshot.index - 1]
-        if a.term == b.term:
+def _last_common_index(old: PersistentState, new: PersistentState) -> int:
+    """The last index up to which both logs are the same. Entries of equal terms at one index mean
+    that the logs are equal up to that index (Ongaro, 3.5, log matching)."""
+    lowest = max(old.snapshot.index, new.snapshot.index)
+    highest = min(old.snapshot.index + len(old.entries), new.snapshot.index + len(new.entries))
+    for index in range(highest, lowest, -1):
+        old_entry = old.entries[index - old.snapshot.index - 1]
+        new_entry = new.entries[index - new.snapshot.index - 1]
+        if old_entry.term == new_entry.term:
             return index
-    return low
+    return lowest
 
 
 def plan_write(
-    kept: DiskContents, new: PersistentState, group: str, known: dict[str, int]
+    current: DiskContents, new: PersistentState, group: str, known: dict[str, int]
 ) -> tuple[DiskContents, Batch]:
-    """What the disk holds after `new`, and the batch that makes it so."""
-    old = kept.saved
+    """The disk's content after the state `new` is saved, and the batch that writes the difference.
+
+    `known` holds the saves that other voters reported, by voter id.
+    """
+    old = current.saved
     batch = Batch()
     old_last = old.snapshot.index + len(old.entries)
     last = new.snapshot.index + len(new.entries)
-    same = _common(old, new)
+    common = _last_common_index(old, new)
     for index in range(old.snapshot.index + 1, min(new.snapshot.index, old_last) + 1):
         batch.delete(entry_key(index))
-    for index in range(max(same, new.snapshot.index) + 1, last + 1):
+    for index in range(max(common, new.snapshot.index) + 1, last + 1):
         batch.put(entry_key(index), _encode(new.entries[index - new.snapshot.index - 1]))
     for index in range(max(last, new.snapshot.index) + 1, old_last + 1):
         batch.delete(entry_key(index))
     if new.snapshot.index != old.snapshot.index:
         batch.put(SNAPSHOT, new.snapshot.data)
-    made = DiskContents(kept.id, group, kept.saves + 1, new, dict(known))
+    contents = DiskContents(current.id, group, current.saves + 1, new, dict(known))
     batch.put(
         META,
         _encode(
             Meta(
-                FORMAT, made.id, group, made.saves, new.term, new.voted_for, new.snapshot.index,
-                new.snapshot.term, new.snapshot.voters, last, made.known_saves,
+                FORMAT, contents.id, group, contents.saves, new.term, new.voted_for,
+                new.snapshot.index, new.snapshot.term, new.snapshot.voters, last,
+                contents.known_saves,
             )
         ),
     )  # fmt: skip
-    return made, batch
+    return contents, batch
--- a/tansywood/lease/log.py
+++ b/tansywood/lease/log.py
@@ -1,4 +1,4 @@
-"""What the voters say to one another, and what they keep: Raft's messages and entries, typed."""
+"""Raft's messages between voters, the entries of the log and a voter's persistent state."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Entry(Struct, array_like=True, frozen=True):
-    """One place of the log. Of VOTERS `data` is their names, by lines."""
+    """One entry of the log. For an entry of kind VOTERS, `data` holds one voter's id per line."""
 
     term: Count
     kind: Annotated[int, Meta(ge=0, le=2)]
@@ -23,7 +23,8 @@
 
 
 class Snapshot(Struct, array_like=True, frozen=True):
-    """All up to `index`, in place of the entries: what they came to, and who the voters were."""
+    """Replaces all entries up to and including `index`: `data` is the state that results from
+    them, `voters` the membership at that index."""
 
     index: Count = 0
     term: Count = 0
@@ -32,7 +33,8 @@
 
 
 class PreVoteRequest(Struct, array_like=True, frozen=True, tag="pv"):
-    """Would you vote for me in this term? Changes nothing (Ongaro, 9.6)."""
+    """Asks whether the receiver would vote for the sender in `term`. The receiver's state does not
+    change (Ongaro, 9.6)."""
 
     term: Count
     last_index: Count
@@ -40,23 +42,31 @@
 
 
 class PreVoteReply(Struct, array_like=True, frozen=True, tag="pw"):
+    """The reply to a `PreVoteRequest`: `term` is the requested term where the pre-vote is granted,
+    otherwise the replying voter's own."""
+
     term: Count
     granted: bool
 
 
 class VoteRequest(Struct, array_like=True, frozen=True, tag="v"):
+    """A candidate asks for a vote; its log ends at `last_index` with an entry of `last_term`."""
+
     term: Count
     last_index: Count
     last_term: Count
 
 
 class VoteReply(Struct, array_like=True, frozen=True, tag="w"):
+    """The reply to a `VoteRequest`."""
+
     term: Count
     granted: bool
 
 
 class AppendEntries(Struct, array_like=True, frozen=True, tag="e"):
-    """Entries behind `prev`, or none: a heartbeat. `round` is counted by the leader."""
+    """The leader's entries after `prev_index`; a message without entries is a heartbeat. `round`
+    numbers the leader's rounds of heartbeats."""
 
     term: Count
     prev_index: Count
@@ -67,7 +77,8 @@
 
 
 class AppendEntriesReply(Struct, array_like=True, frozen=True, tag="f"):
-    """`match`: all up to it is as the leader's; where not ok, the next try may begin there."""
+    """The reply to `AppendEntries` or `InstallSnapshot`. Where `ok`, the follower's log is the same
+    as the leader's up to `match_index`; otherwise the leader may retry from `match_index`."""
 
     term: Count
     ok: bool
@@ -76,6 +87,8 @@
 
 
 class InstallSnapshot(Struct, array_like=True, frozen=True, tag="i"):
+    """The leader's snapshot, for a follower that needs entries which the leader has compacted."""
+
     term: Count
     snapshot: Snapshot
     round: Count
@@ -93,7 +106,8 @@
 
 
 class PersistentState(Struct, array_like=True, frozen=True):
-    """What a voter's disk holds. A vote or an entry that is not there was never given."""
+    """What a voter keeps on its disk. A vote or an acknowledged entry is written here before any
+    message tells of it."""
 
     term: Count = 0
     voted_for: str = ""
@@ -101,9 +115,11 @@
     entries: tuple[Entry, ...] = ()
 
 
-def voters_of(entry: Entry) -> tuple[str, ...]:
+def decode_voters(entry: Entry) -> tuple[str, ...]:
+    """The ids of the voters in an entry of kind VOTERS."""
     return tuple(filter(None, entry.data.decode().split("\n")))
 
 
-def voters_entry(term: int, voters: tuple[str, ...]) -> Entry:
+def encode_voters(term: int, voters: tuple[str, ...]) -> Entry:
+    """An entry that changes the membership to these voters."""
     return Entry(term, VOTERS, "\n".join(sorted(voters)).encode())
--- a/tansywood/lease/messages.py
+++ b/tansywood/lease/messages.py
@@ -1,4 +1,4 @@
-"""Messages between lease clients, beside those of the log: typed, and as bytes. Pure."""
+"""Messages between lease clients, apart from Raft's own, and the encoding of both. Pure."""
 
 from __future__ import annotations
 
@@ -19,17 +19,19 @@
 
 
 class LeaseRequest(Struct, array_like=True, frozen=True, tag="ask"):
-    """A holder's request: renew all that it has, grant or take back the leases named besides."""
+    """A holder's request: it renews all of the holder's leases, asks for those in `acquire` and
+    gives back those in `release`."""
 
     holder: str
     seq: Count
     acquire: tuple[str, ...] = ()
-    release: tuple[tuple[str, int, str], ...] = ()  # name, token, to whom
-    last_reply_seq: Count = 0  # the latest request of which it has the reply
+    release: tuple[tuple[str, int, str], ...] = ()  # name, token, next holder or empty
+    last_reply_seq: Count = 0  # number of the latest request whose reply the holder received
 
 
 class LeaseReply(Struct, array_like=True, frozen=True, tag="told"):
-    """What the holder has, all of it, at a moment after it asked. `leader` where another leads."""
+    """All leases of the holder at a moment after it sent the request. A voter that does not lead
+    replies with `ok` False and the leader's id, if it knows one."""
 
     seq: Count
     ok: bool
@@ -37,31 +39,33 @@
     leader: str = ""
     unreachable_holders: tuple[
         str, ...
-    ] = ()  # holders that ask and hear nothing: nothing is to go to them
+    ] = ()  # holders whose requests arrive but which get no reply: grant them nothing
 
 
 class VoterAnnouncement(Struct, array_like=True, frozen=True, tag="here"):
-    """A voter whose disk is in use, to the other voters' machines."""
+    """Tells the other voters' instances that this voter's disk is in use."""
 
-    is_learner: bool = False  # it is in no group's voters that it knows of
+    is_learner: bool = False  # the disk is not among the voters that its own log names
 
 
 class DiskBehind(Struct, array_like=True, frozen=True, tag="behind"):
-    """Your disk holds less than what it said before: it was restored, or lost what it synced."""
+    """Tells a voter that its disk has fewer saves than it reported before. The disk was restored
+    from a copy or lost data that it had synced."""
 
     saves: Count
 
 
 class GrantNotice(Struct, array_like=True, frozen=True, tag="poke"):
-    """A holder was granted leases since its last request: it should ask now."""
+    """Tells a holder that leases were granted to it since its last request, so that it sends the
+    next request at once."""
 
 
 class TableQuery(Struct, array_like=True, frozen=True, tag="q"):
-    """A member that does not vote asks who holds what."""
+    """An instance that does not vote asks for the table of leases."""
 
 
 class TableReply(Struct, array_like=True, frozen=True, tag="r"):
-    """To a `TableQuery`: all leases that are held."""
+    """The reply to a `TableQuery`: all leases that are held."""
 
     rows: tuple[tuple[str, str, int], ...]  # name, holder, token
 
@@ -91,11 +95,11 @@
 
 
 def pack(message: AnyMessage) -> bytes:
-    """A message as bytes."""
+    """Encodes a message."""
     return _encode(message)
 
 
 def unpack(data: bytes) -> AnyMessage:
-    """msgspec.MsgspecError on what no version of this sends."""
-    made: AnyMessage = _decoder.decode(data)
-    return made
+    """Decodes a message. Raises msgspec.MsgspecError where this version does not know it."""
+    message: AnyMessage = _decoder.decode(data)
+    return message
--- a/tansywood/lease/raft_leader.py
+++ b/tansywood/lease/raft_leader.py
@@ -10,7 +10,7 @@
     AppendEntriesReply,
     Entry,
     InstallSnapshot,
-    voters_entry,
+    encode_voters,
 )
 from tansywood.lease.raft_state import FOLLOWER, LEADER, RaftState
 
@@ -154,7 +154,7 @@
             self.next_index.setdefault(voter, self.last_index + 1)
             self.match_index.setdefault(voter, 0)
             self.last_heard_at.setdefault(voter, now)
-        self._append(voters_entry(self.term, voters))
+        self._append(encode_voters(self.term, voters))
         self.learners = tuple(v for v in self.learners if v not in voters)
         self.send_heartbeats(now)
         return ""
--- a/tansywood/lease/raft_state.py
+++ b/tansywood/lease/raft_state.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from tansywood.lease.log import VOTERS, Entry, Message, PersistentState, Snapshot, voters_of
+from tansywood.lease.log import VOTERS, Entry, Message, PersistentState, Snapshot, decode_voters
 
 MS = 1_000_000
 FOLLOWER, PRE_CANDIDATE, CANDIDATE, LEADER = "follower", "asking", "candidate", "leader"
@@ -100,7 +100,7 @@
         """By the latest entry about them, committed or not (Ongaro, 4.1)."""
         if self._voters is None:
             self._voters = next(
-                (voters_of(e) for e in reversed(self.entries) if e.kind == VOTERS),
+                (decode_voters(e) for e in reversed(self.entries) if e.kind == VOTERS),
                 self.snapshot.voters,
             )
         return self._voters
@@ -148,7 +148,7 @@
         voters = self.snapshot.voters
         for entry in self.entries[: index - self.snapshot.index]:
             if entry.kind == VOTERS:
-                voters = voters_of(entry)
+                voters = decode_voters(entry)
         term = self.term_at(index)
         del self.entries[: index - self.snapshot.index]
         self.snapshot = Snapshot(index, term, voters, data)
--- a/tansywood/lease/table.py
+++ b/tansywood/lease/table.py
@@ -1,4 +1,7 @@
-"""Who holds what: the state that the log comes to. No time in it, so every voter's is the same."""
+"""The table of leases: the replicated state that results from the log.
+
+The table depends on no clock, so all voters that applied the same entries have the same table.
+"""
 
 from __future__ import annotations
 
@@ -8,18 +11,19 @@
 from msgspec import Meta, Struct
 
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
-Holder = Annotated[str, Meta(min_length=1, max_length=100)]  # an instance and its life
+Holder = Annotated[str, Meta(min_length=1, max_length=100)]  # an instance's name and process life
 
 
 class AcquireLease(Struct, array_like=True, frozen=True, tag="t"):
-    """`holder` asks for a lease."""
+    """Grants the lease `name` to `holder` if nobody holds it."""
 
     name: Name
     holder: Holder
 
 
 class ReleaseLease(Struct, array_like=True, frozen=True, tag="g"):
-    """Its holder gives it back, by its token; `to` gets it in the same entry, if anybody."""
+    """Releases the lease `name` if `token` is its current token. Where `to` is not empty, the same
+    entry grants the lease to that holder."""
 
     name: Name
     token: int
@@ -27,7 +31,7 @@
 
 
 class EndHolder(Struct, array_like=True, frozen=True, tag="e"):
-    """All that a holder has is over. The leader says so, once the time is."""
+    """Ends all leases of a holder. The leader proposes this command once they have expired."""
 
     holder: Holder
 
@@ -38,48 +42,57 @@
 
 
 class TableError(ValueError):
-    """Bytes that no voter of this version wrote."""
+    """A command or a snapshot that this version can't decode."""
 
 
 def pack(command: Command) -> bytes:
+    """A command as the data of a log entry."""
     return _encode(command)
 
 
 class Lease(Struct, array_like=True, frozen=True):
+    """A lease that is held. Its fencing token grows with every grant."""
+
     holder: Holder
-    token: int  # the index of its grant in the log
+    token: int  # the index of the log entry that granted the lease
 
 
 class TableChange(NamedTuple):
-    """What one command did."""
+    """The leases that one command granted and freed."""
 
-    granted: tuple[tuple[str, str], ...] = ()  # name and holder
-    freed: tuple[str, ...] = ()  # that nobody has now
+    granted: tuple[tuple[str, str], ...] = ()  # name and holder of each lease
+    freed: tuple[str, ...] = ()  # names of leases that nobody holds any more
 
 
 class LeaseTable:
-    """Leases by name. `apply` is told every command in the log's order, once."""
+    """Leases by name. `apply` must be called once for every command, in the order of the log."""
 
     def __init__(self) -> None:
         self.leases: dict[str, Lease] = {}
-        self.names_by_holder: dict[str, set[str]] = {}  # names by holder
+        self.names_by_holder: dict[str, set[str]] = {}
         self.index = 0
 
     def apply(self, index: int, data: bytes) -> TableChange:
-        """TableError where the entry can't be read: this version must not go on past it."""
+        """Applies the command at this index of the log.
+
+        Raises TableError where this version can't decode the command. The caller must stop there:
+        skipping an entry would make this voter's table differ from the others'.
+        """
         try:
             command = _decoder.decode(data)
         except msgspec.MsgspecError as err:
-            raise TableError(f"entry {index}: {err}: run a newer version") from None
+            raise TableError(
+                f"entry {index} of the lease log can't be decoded ({err}): run a newer version"
+            ) from None
         self.index = index
         if isinstance(command, AcquireLease):
             if command.name not in self.leases:
                 self._grant(command.name, command.holder, index)
                 return TableChange(((command.name, command.holder),))
         elif isinstance(command, ReleaseLease):
-            known = self.leases.get(command.name)
-            if known is not None and known.token == command.token:
-                self._drop(command.name)
+            lease = self.leases.get(command.name)
+            if lease is not None and lease.token == command.token:
+                self._remove(command.name)
                 if not command.to:
                     return TableChange(freed=(command.name,))
                 self._grant(command.name, command.to, index)
@@ -87,7 +100,7 @@
         else:
             names = tuple(sorted(self.names_by_holder.get(command.holder, ())))
             for name in names:
-                self._drop(name)
+                self._remove(name)
             return TableChange(freed=names)
         return TableChange()
 
@@ -95,7 +108,7 @@
         self.leases[name] = Lease(holder, index)
         self.names_by_holder.setdefault(holder, set()).add(name)
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         lease = self.leases.pop(name)
         names = self.names_by_holder[lease.holder]
         names.discard(name)
@@ -103,19 +116,22 @@
             del self.names_by_holder[lease.holder]
 
     def save(self) -> bytes:
+        """The table as the data of a snapshot."""
         return msgspec.msgpack.encode((self.index, self.leases))
 
     @classmethod
     def load(cls, data: bytes) -> LeaseTable:
-        """What `save` made; the empty one of nothing. TableError."""
-        made = cls()
+        """The table that `save` encoded; empty data makes an empty table. Raises TableError."""
+        table = cls()
         if not data:
-            return made
+            return table
         try:
-            made.index, rows = msgspec.msgpack.decode(data, type=tuple[int, dict[str, Lease]])
+            table.index, rows = msgspec.msgpack.decode(data, type=tuple[int, dict[str, Lease]])
         except msgspec.MsgspecError as err:
-            raise TableError(f"the snapshot can't be read: {err}") from None
+            raise TableError(
+                f"the snapshot of the lease table can't be decoded, run a newer version: {err}"
+            ) from None
         for name, lease in rows.items():
-            made.leases[name] = lease
-            made.names_by_holder.setdefault(lease.holder, set()).add(name)
-        return made
+            table.leases[name] = lease
+            table.names_by_holder.setdefault(lease.holder, set()).add(name)
+        return table
--- a/tansywood/lease/terms.py
+++ b/tansywood/lease/terms.py
@@ -1,4 +1,4 @@
-"""How long leases last. Times are nanoseconds. Pure."""
+"""Durations of leases, in nanoseconds. Pure."""
 
 from __future__ import annotations
 
@@ -11,19 +11,25 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTerms:
-    """The same at every voter and holder."""
+    """Duration and renewal of leases. Every voter and every holder uses the same values.
+
+    Raises ValueError where two clocks may differ too much or a lease has no room for two renewals.
+    """
 
     duration_ns: int = 4 * SECOND
-    max_clock_skew_fraction: float = 0.1  # by which the rates of two clocks may differ
-    renew_interval_ns: int = SECOND  # between two renewals: three may be lost
+    max_clock_skew_fraction: float = 0.1  # largest difference between the rates of two clocks
+    renew_interval_ns: int = SECOND  # a lease outlasts three lost renewals
 
     def __post_init__(self) -> None:
         if not 0 <= self.max_clock_skew_fraction < 0.5:
-            raise ValueError("clocks' rates may differ by less than a half")
+            raise ValueError(
+                "the rates of two clocks may differ by a fraction from 0 to less than 0.5"
+            )
         if not 0 < 2 * self.renew_interval_ns <= self.duration_ns:
-            raise ValueError("a lease has to last for two renewals at least")
+            raise ValueError("a lease has to last for at least two renewal intervals")
 
     @property
     def holder_duration_ns(self) -> int:
-        """How long a holder goes by an answer, from when it asked."""
+        """How long a holder may rely on a reply, counted from the moment it sent the request. The
+        leader waits for the full `duration_ns`, so a slow clock at the holder does no harm."""
         return int(self.duration_ns * (1.0 - self.max_clock_skew_fraction))
