--- a/tansywood/lease/raft.py
+++ b/tansywood/lease/raft.py
@@ -1,15 +1,15 @@
-"""A replicated log: Raft with pre-vote, check of quorum and changes of one voter. Pure.
+"""A replicated log: Raft with pre-vote, quorum check and single-server membership changes. Pure.
 
-Ongaro: "Consensus: Bridging Theory and Practice" (2014), chapters 3 (the core), 4.1 and 4.2.3
-(changes of voters, and voters that are not heard of), 6.4 (rounds that confirm a leader without the
-log), 9.6 (pre-vote).
+The references are to Ongaro, "Consensus: Bridging Theory and Practice" (2014): chapter 3 (the core
+algorithm), 4.1 and 4.2.3 (membership changes, and servers that disrupt a leader), 6.4 (read index:
+rounds of heartbeats that confirm a leader without a log entry) and 9.6 (pre-vote).
 
-Every call may change what has to be kept. `take()` hands over what to keep and what to send, in
-that order: nothing may be sent, and nothing be told as committed, before it is synced. Where
-keeping it fails, the process has to end as if it had crashed before the call.
+Every call may change the persistent state. `take()` returns the state to save and the messages to
+send: the state has to be synced before any message is sent and before anything is reported as
+committed. Where saving fails, the process has to end as if it had crashed before the call.
 
-`raft_state` is the log and the role as one voter has them, `raft_follower` and `raft_leader` what
-each role does, `raft_election` how one becomes a leader.
+`raft_state` holds one voter's log and role, `raft_follower` and `raft_leader` the behaviour of each
+role, `raft_election` the way from follower to leader.
 """
 
 from __future__ import annotations
@@ -37,12 +37,13 @@
 
 
 class Raft(Election, Follower):
-    """One voter, or one that is to become one."""
+    """One voter, or a learner that is to become a voter."""
 
     def tick(self, now: int) -> None:
-        """Whatever is due by now."""
+        """Sends a heartbeat or starts an election if one is due."""
         if self.role == LEADER:
-            # Not only when a heartbeat is due: rounds that others ask for put that off for ever.
+            # The quorum is checked on every tick: each round that a request starts postpones the
+            # next due heartbeat, so a busy leader might never reach a check made only then.
             self._check_quorum(now)
         if now < self.due:
             return
@@ -52,27 +53,28 @@
         self.campaign(now)
 
     def receive(self, now: int, sender: str, message: Message) -> None:
-        """A message of another, late, doubled or out of order as it may be."""
+        """Handles another voter's message. Messages may be late, duplicated or out of order."""
         if isinstance(message, PreVoteRequest):
-            self._pre_vote(now, sender, message)
+            self._handle_pre_vote_request(now, sender, message)
             return
         if isinstance(message, PreVoteReply):
-            self._pre_voted(now, sender, message)
+            self._handle_pre_vote_reply(now, sender, message)
+            return
+        if isinstance(message, VoteRequest) and self._has_live_leader(now):
+            # A voter that was partitioned or removed must not depose a live leader (Ongaro, 4.2.3).
             return
-        if isinstance(message, VoteRequest) and self._hears_a_leader(now):
-            return  # one that is cut off, or was taken out, must not unseat it (Ongaro, 4.2.3)
         if message.term > self.term:
-            self._follow(now, message.term, "")
+            self._become_follower(now, message.term, "")
         if isinstance(message, VoteRequest):
             self._handle_vote_request(now, sender, message)
         elif isinstance(message, VoteReply):
-            self._voted(now, sender, message)
+            self._handle_vote_reply(now, sender, message)
         elif isinstance(message, AppendEntries):
-            self._appending(now, sender, message)
+            self._handle_append_entries(now, sender, message)
         elif isinstance(message, InstallSnapshot):
-            self._installing(now, sender, message)
+            self._handle_install_snapshot(now, sender, message)
         elif self.role == LEADER and message.term == self.term:
-            self._appended(now, sender, message)
+            self._handle_append_reply(now, sender, message)
 
 
 __all__ = ["PRE_CANDIDATE", "CANDIDATE", "FOLLOWER", "LEADER", "MS", "RaftOutput", "Raft", "Timing"]
--- a/tansywood/lease/raft_follower.py
+++ b/tansywood/lease/raft_follower.py
@@ -1,4 +1,4 @@
-"""What a follower does with a leader's entries and snapshots. Pure."""
+"""How a follower handles a leader's entries and snapshots. Pure."""
 
 from __future__ import annotations
 
@@ -9,54 +9,60 @@
 class Follower(RaftState):
     """The receiving end of replication (Ongaro, 3.5 and 5)."""
 
-    def _heed(self, now: int, sender: str, message: AppendEntries | InstallSnapshot) -> bool:
-        """Whether this is of a leader of our term or a later one; it is followed then, and
-        otherwise told that it leads no more."""
+    def _accept_leader(
+        self, now: int, sender: str, message: AppendEntries | InstallSnapshot
+    ) -> bool:
+        """Follows the sender if its term is current and returns True. A sender of an older term
+        gets a refusal with the newer term, from which it learns that it no longer leads."""
         if message.term < self.term:
             self._acknowledge(sender, False, 0, message.round)
             return False
-        self._follow(now, self.term, sender)
+        self._become_follower(now, self.term, sender)
         self.leader_heard_at = now
         return True
 
-    def _acknowledge(self, sender: str, ok: bool, match: int, round_: int) -> None:
-        self._post(sender, AppendEntriesReply(self.term, ok, match, round_))
+    def _acknowledge(self, sender: str, ok: bool, match_index: int, round_: int) -> None:
+        self._send(sender, AppendEntriesReply(self.term, ok, match_index, round_))
 
-    def _appending(self, now: int, sender: str, message: AppendEntries) -> None:
-        """Take a leader's entries, if they fit to what is here."""
-        if not self._heed(now, sender, message):
+    def _handle_append_entries(self, now: int, sender: str, message: AppendEntries) -> None:
+        """Stores a leader's entries if this log holds the entry that precedes them. Otherwise the
+        reply says from which index the leader may retry."""
+        if not self._accept_leader(now, sender, message):
             return
-        prev, entries = message.prev_index, message.entries
-        if prev < self.snapshot.index:
-            # The beginning is in our snapshot, and what is in it was committed: it is the same.
-            skip = min(self.snapshot.index - prev, len(entries))
-            prev, entries = prev + skip, entries[skip:]
-            if prev < self.snapshot.index:
+        prev_index, entries = message.prev_index, message.entries
+        if prev_index < self.snapshot.index:
+            # The first entries are in this voter's snapshot. A snapshot holds committed entries
+            # only, so those entries are equal and can be skipped.
+            skip = min(self.snapshot.index - prev_index, len(entries))
+            prev_index, entries = prev_index + skip, entries[skip:]
+            if prev_index < self.snapshot.index:
                 self._acknowledge(sender, True, self.snapshot.index, message.round)
                 return
-        elif self.term_at(prev) != message.prev_term:
-            hint = min(prev - 1, self.last_index) if prev else 0
+        elif self.term_at(prev_index) != message.prev_term:
+            hint = min(prev_index - 1, self.last_index) if prev_index else 0
             self._acknowledge(sender, False, max(hint, self.commit_index), message.round)
             return
-        self._take_over(prev, entries)
-        match = prev + len(entries)
-        self.commit_index = max(self.commit_index, min(message.commit_index, match))
-        self._acknowledge(sender, True, match, message.round)
+        self._store_entries(prev_index, entries)
+        match_index = prev_index + len(entries)
+        self.commit_index = max(self.commit_index, min(message.commit_index, match_index))
+        self._acknowledge(sender, True, match_index, message.round)
 
-    def _take_over(self, prev: int, entries: Entries) -> None:
-        """Put entries behind `prev`; from the first that differs on what was there goes."""
-        for at, entry in enumerate(entries):
-            index = prev + 1 + at
+    def _store_entries(self, prev_index: int, entries: Entries) -> None:
+        """Stores entries after `prev_index`. The first entry that differs from the log replaces
+        the rest of the log; entries that are equal already leave the log as it is."""
+        for offset, entry in enumerate(entries):
+            index = prev_index + 1 + offset
             if index <= self.last_index and self.term_at(index) == entry.term:
                 continue
-            del self.entries[self._position(index) :]
-            self.entries.extend(entries[at:])
+            del self.entries[self._list_position(index) :]
+            self.entries.extend(entries[offset:])
             self._log_changed()
             return
 
-    def _installing(self, now: int, sender: str, message: InstallSnapshot) -> None:
-        """Take a leader's snapshot, if it is ahead of what is committed here."""
-        if not self._heed(now, sender, message):
+    def _handle_install_snapshot(self, now: int, sender: str, message: InstallSnapshot) -> None:
+        """Installs a leader's snapshot if it is ahead of this voter's commit index. Entries after
+        the snapshot stay where the log agrees with the snapshot's last entry."""
+        if not self._accept_leader(now, sender, message):
             return
         snapshot = message.snapshot
         if snapshot.index > self.commit_index:
@@ -66,5 +72,5 @@
                 self.entries.clear()
             self._replace_snapshot(snapshot)
             self._out.installed = snapshot
-        match = min(max(self.commit_index, snapshot.index), self.last_index)
-        self._acknowledge(sender, True, match, message.round)
+        match_index = min(max(self.commit_index, snapshot.index), self.last_index)
+        self._acknowledge(sender, True, match_index, message.round)
--- a/tansywood/lease/raft_state.py
+++ b/tansywood/lease/raft_state.py
@@ -1,4 +1,5 @@
-"""One voter's log and role, and what its calls ask to be kept, sent and applied. Pure."""
+"""One voter's log and role, and the output of its calls: state to save, messages to send, entries
+to apply. Pure."""
 
 from __future__ import annotations
 
@@ -14,29 +15,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Nanoseconds. The log is safe whatever they are; they only say how soon it goes on."""
+    """Intervals of Raft. They decide how soon a leader is replaced; safety does not depend on them.
+
+    Raises ValueError where the election timeout is shorter than two heartbeat intervals.
+    """
 
     heartbeat_interval_ns: int = 100 * MS
-    election_timeout_ns: int = 500 * MS  # to twice that, drawn anew each time
-    max_batch_entries: int = 64  # entries in one message
+    election_timeout_ns: int = 500 * MS  # lower bound; the upper bound is twice this
+    max_batch_entries: int = 64  # most entries in one message
 
     def __post_init__(self) -> None:
         if not 0 < 2 * self.heartbeat_interval_ns <= self.election_timeout_ns:
-            raise ValueError("an election has to wait for two heartbeats at least")
+            raise ValueError("the election timeout has to be at least two heartbeat intervals")
 
 
 @dataclass(slots=True)
 class RaftOutput:
-    """What one or several calls ask for, in this order: keep, send, apply."""
+    """The output of one or several calls: save the state, then send the messages, then install the
+    snapshot and apply the committed entries."""
 
-    saved: PersistentState | None = None  # None: nothing new to keep
+    saved: PersistentState | None = None  # None: the persistent state did not change
     sends: list[tuple[str, Message]] = field(default_factory=list)
     committed: list[tuple[int, Entry]] = field(default_factory=list)
-    installed: Snapshot | None = None  # it goes before what is committed
+    installed: Snapshot | None = None  # to be installed before `committed` is applied
 
 
 class RaftState:
-    """One voter, or one that is to become one."""
+    """The state of one voter, or of a learner that is to become a voter."""
 
     def __init__(
         self, name: str, saved: PersistentState, timing: Timing, rng: Random, now: int
@@ -44,31 +49,31 @@
         self.name = name
         self.timing = timing
         self.rng = rng
-        # Kept on the disk:
+        # Persistent state:
         self.term = saved.term
         self.voted_for = saved.voted_for
         self.snapshot = saved.snapshot
         self.entries: list[Entry] = list(saved.entries)
-        # In memory, of every role:
+        # Volatile state of every role:
         self.role = FOLLOWER
         self.leader = ""
         self.commit_index = self.snapshot.index
         self.applied = self.snapshot.index
-        self.leader_heard_at = -(1 << 62)  # of a leader that lives
+        self.leader_heard_at = -(1 << 62)  # time of a leader's last message
         self.votes: set[str] = set()
-        # A leader's:
+        # Volatile state of a leader, by voter or learner where it is a dictionary:
         self.match_index: dict[str, int] = {}
         self.next_index: dict[str, int] = {}
-        self.acknowledged_round: dict[str, int] = {}  # the latest round each has acknowledged
-        self.last_heard_at: dict[str, int] = {}  # when, of each, by a leader
+        self.acknowledged_round: dict[str, int] = {}  # the latest round that was acknowledged
+        self.last_heard_at: dict[str, int] = {}
         self.round = 0
         self.learners: tuple[str, ...] = ()
         self.elected_at = 0
-        self.first_own_index = 0  # the index of the leader's own first entry
-        self._dirty = False  # something is to be kept
-        self._voters: tuple[str, ...] | None = None  # worked out anew where the log was changed
+        self.first_own_index = 0  # index of the first entry of the leader's own term
+        self._has_unsaved_state = False
+        self._voters: tuple[str, ...] | None = None  # cache; None after the log was changed
         self._out = RaftOutput()
-        self.due = now + self._patience()
+        self.due = now + self._draw_election_timeout()
         if self.snapshot.index:
             self._out.installed = self.snapshot
 
@@ -76,28 +81,29 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry."""
+        """Index of the last log entry."""
         return self.snapshot.index + len(self.entries)
 
-    def _position(self, index: int) -> int:
-        """In `entries`, of the entry at this index."""
+    def _list_position(self, index: int) -> int:
+        """The position in `entries` of the log entry at this index."""
         return index - self.snapshot.index - 1
 
     def term_at(self, index: int) -> int:
-        """Of an entry that is there, or of the snapshot's last; -1 of what is before it."""
+        """The term of the entry at this index; -1 where the log does not hold the index. The
+        snapshot's last index counts as held."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if index < self.snapshot.index or index > self.last_index:
             return -1
-        return self.entries[self._position(index)].term
+        return self.entries[self._list_position(index)].term
 
     def entry(self, index: int) -> Entry:
-        """One that is there."""
-        return self.entries[self._position(index)]
+        """The entry at this index, which has to be in the log and after the snapshot."""
+        return self.entries[self._list_position(index)]
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """By the latest entry about them, committed or not (Ongaro, 4.1)."""
+        """The membership by the latest entry of kind VOTERS, committed or not (Ongaro, 4.1)."""
         if self._voters is None:
             self._voters = next(
                 (decode_voters(e) for e in reversed(self.entries) if e.kind == VOTERS),
@@ -105,44 +111,46 @@
             )
         return self._voters
 
-    def majority(self, some: Iterable[str]) -> bool:
-        """Whether more than half of the voters are among these."""
+    def majority(self, ids: Iterable[str]) -> bool:
+        """Whether more than half of the voters are among these ids."""
         voters = self.voters
-        return 2 * len(set(some) & set(voters)) > len(voters)
+        return 2 * len(set(ids) & set(voters)) > len(voters)
 
-    def state(self) -> PersistentState:
-        """What is to be kept."""
+    def persistent_state(self) -> PersistentState:
+        """The state that has to be on the disk before any message is sent."""
         return PersistentState(self.term, self.voted_for, self.snapshot, tuple(self.entries))
 
     def take(self) -> RaftOutput:
-        """What to keep, send and apply since the last take."""
+        """The output of all calls since the last `take`."""
         out, self._out = self._out, RaftOutput()
-        if self._dirty:
-            self._dirty = False
-            out.saved = self.state()
+        if self._has_unsaved_state:
+            self._has_unsaved_state = False
+            out.saved = self.persistent_state()
         while self.applied < self.commit_index:
             self.applied += 1
             out.committed.append((self.applied, self.entry(self.applied)))
         return out
 
     def reset_to_snapshot(self, snapshot: Snapshot) -> None:
-        """Go on from here, whatever the log held: for who founds a group of voters."""
+        """Replaces the whole log by a snapshot. This is for the founder of a group of voters."""
         self.entries.clear()
         self._replace_snapshot(snapshot)
 
     def _replace_snapshot(self, snapshot: Snapshot) -> None:
-        """Begin the log behind another snapshot, which is committed and applied."""
+        """Begins the log after another snapshot, which counts as committed and applied."""
         self.snapshot = snapshot
         self.commit_index = self.applied = snapshot.index
         self._log_changed()
 
     def _log_changed(self) -> None:
-        """Entries went, or came from another: who votes may be another's word too."""
+        """Records that entries were removed or came from another voter. The membership may have
+        changed with them, so its cache is dropped."""
         self._voters = None
-        self._dirty = True
+        self._has_unsaved_state = True
 
     def compact(self, index: int, data: bytes) -> None:
-        """`data` is what all entries up to `index` came to; they may go. Only what is applied."""
+        """Replaces all entries up to `index` by a snapshot with this data. An index that is not
+        applied yet, or is in the snapshot already, changes nothing."""
         if not self.snapshot.index < index <= self.applied:
             return
         voters = self.snapshot.voters
@@ -152,35 +160,36 @@
         term = self.term_at(index)
         del self.entries[: index - self.snapshot.index]
         self.snapshot = Snapshot(index, term, voters, data)
-        self._dirty = True
+        self._has_unsaved_state = True
 
     # ---- the role ----------------------------------------------------------------------------
 
-    def _patience(self) -> int:
-        """How long to wait for a leader before an election, drawn anew."""
+    def _draw_election_timeout(self) -> int:
+        """A random time to wait for a leader before an election. The randomness makes it unlikely
+        that two voters stand for election at once."""
         return self.timing.election_timeout_ns + int(
             self.rng.random() * self.timing.election_timeout_ns
         )
 
-    def _follow(self, now: int, term: int, leader: str) -> None:
-        """Be a follower in this term, of this leader if it is known."""
+    def _become_follower(self, now: int, term: int, leader: str) -> None:
+        """Becomes a follower in this term; `leader` is empty where the leader is not known."""
         if term > self.term:
             self.term = term
             self.voted_for = ""
-            self._dirty = True
+            self._has_unsaved_state = True
         if self.role != FOLLOWER or leader:
-            self.due = now + self._patience()
+            self.due = now + self._draw_election_timeout()
         self.role = FOLLOWER
         self.leader = leader
 
     # ---- sending -----------------------------------------------------------------------------
 
-    def _post(self, to: str, message: Message) -> None:
-        """Send one message."""
+    def _send(self, to: str, message: Message) -> None:
+        """Sends one message."""
         self._out.sends.append((to, message))
 
-    def _tell(self, message: Message) -> None:
-        """Send it to all other voters."""
+    def _send_to_voters(self, message: Message) -> None:
+        """Sends a message to all other voters."""
         for voter in self.voters:
             if voter != self.name:
-                self._post(voter, message)
+                self._send(voter, message)
--- a/tests/lease/test_raft.py
+++ b/tests/lease/test_raft.py
@@ -252,8 +252,8 @@
         "v1", PersistentState(snapshot=Snapshot(0, 0, ("v1", "v2", "v3"))), Timing(), Random(1), 0
     )
     assert raft.change_voters(0, ("v1", "v2")) == "not the leader"
-    raft._elect(0)
-    raft._lead(0)
+    raft._start_election(0)
+    raft._become_leader(0)
     assert raft.change_voters(0, ("v1", "v2")) == "nothing of this term is committed yet"
 
 
