--- a/tansywood/lease/context.py
+++ b/tansywood/lease/context.py
@@ -1,4 +1,5 @@
-"""What the parts of one lease client share: who this is, who is there, counters, events. Pure."""
+"""State that the parts of one lease client share: its identity, the known instances, counters and
+events. Pure."""
 
 from __future__ import annotations
 
@@ -8,45 +9,48 @@
 from tansywood.fleet.events import EventLog
 from tansywood.lease.terms import LeaseTerms
 
-COUNTED = ("asks", "told", "foreign", "length", "unread", "stale", "behind")
+COUNTER_NAMES = ("asks", "told", "foreign", "length", "unread", "stale", "behind")
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """A member as the fleet knows it."""
+    """An instance as the fleet's membership knows it."""
 
     name: str
     address: str
     life: bytes
-    since: int  # there since then
-    accepts_leases: bool = True  # there, neither draining nor leaving
-    is_unsuspected: bool = True  # and nobody suspects that it is gone
+    since: int  # time since which the instance is a member
+    accepts_leases: bool = True  # present, and neither draining nor leaving
+    is_unsuspected: bool = True  # no member suspects that the instance has failed
 
 
 def holder_id(name: str, life: bytes) -> str:
-    """One life of one instance, as a holder."""
+    """The id of a holder: an instance's name and the life of its process."""
     return f"{name}/{life.hex()}"
 
 
-def name_of(some: str) -> str:
+def name_of(id_: str) -> str:
     """The instance's name in a voter's or holder's id."""
-    return some.partition("/")[0]
+    return id_.partition("/")[0]
 
 
 @dataclass(slots=True)
 class Context:
-    """One life of one instance."""
+    """The shared state of one process of one instance."""
 
     name: str
     life: bytes
-    wanted_voters: tuple[str, ...]  # instances that are to vote, the same everywhere
+    wanted_voters: tuple[
+        str, ...
+    ]  # instances that the settings name as voters, the same everywhere
     terms: LeaseTerms
     rng: Random
-    peers: dict[str, Peer] = field(default_factory=dict)  # by name, this instance among them
-    counts: dict[str, int] = field(default_factory=lambda: dict.fromkeys(COUNTED, 0))
+    peers: dict[str, Peer] = field(default_factory=dict)  # by name, including this instance
+    counts: dict[str, int] = field(default_factory=lambda: dict.fromkeys(COUNTER_NAMES, 0))
     events: EventLog[str] = field(default_factory=EventLog)
 
-    def address(self, some: str) -> str:
-        """Of the instance in a voter's or holder's id; empty where it is not known."""
-        peer = self.peers.get(name_of(some))
+    def address(self, id_: str) -> str:
+        """The address of the instance in a voter's or holder's id; empty where the instance is not
+        known."""
+        peer = self.peers.get(name_of(id_))
         return peer.address if peer is not None else ""
--- a/tansywood/lease/electorate.py
+++ b/tansywood/lease/electorate.py
@@ -1,4 +1,4 @@
-"""Who votes: which voters' disks are there, and changes of voters, one at a time. Pure."""
+"""Which voters' disks are in use, and the membership changes that follow, one at a time. Pure."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from tansywood.lease.terms import SECOND
 from tansywood.lease.voter import Voter
 
-ANNOUNCE_EVERY = SECOND  # between two announcements of a voter's disk to the other voters' machines
-ANNOUNCED_FOR = 3 * SECOND  # it counts as there so long after its last announcement
+ANNOUNCE_INTERVAL_NS = SECOND  # how often a voter announces its disk to the other instances
+ANNOUNCEMENT_VALID_NS = 3 * SECOND  # a disk counts as present this long after an announcement
 
 
 @dataclass(slots=True)
-class _Heard:
-    """What another voter's disk said last."""
+class _Announcement:
+    """The latest announcement of another instance's disk."""
 
     id: str
     at: int
@@ -25,72 +25,75 @@
 
 
 class Electorate:
-    """The voters' disks as one instance hears of them; where it leads, it makes the voters those
-    that the settings want."""
+    """The voters' disks that this instance knows of. On the leader, `update_voters` changes the
+    membership to the voters that the settings name."""
 
     def __init__(self, context: Context, send: Callable[[int, str, ClientMessage], None]) -> None:
-        self.announce_at = 0  # when this disk is announced next
+        self.announce_at = 0  # when this disk is due to be announced
         self._context = context
         self._send = send
-        self._heard: dict[str, _Heard] = {}  # by instance
+        self._announcements: dict[str, _Announcement] = {}  # by instance
 
     def receive_announcement(
         self, now: int, name: str, sender: str, group: str, announcement: VoterAnnouncement
     ) -> None:
-        """Another instance's disk is there."""
-        self._heard[name] = _Heard(sender, now, group, announcement.is_learner)
+        """Records that another instance's disk is in use."""
+        self._announcements[name] = _Announcement(sender, now, group, announcement.is_learner)
 
     def find_known_group(self) -> tuple[str, str]:
-        """A disk that is in a group, and that group; empty where none was heard of."""
-        heard = [h for h in self._heard.values() if h.group]
-        return (heard[0].id, heard[0].group) if heard else ("", "")
+        """The id of an announced disk that belongs to a group, and the group's id; two empty
+        strings where no such disk was announced."""
+        grouped = [a for a in self._announcements.values() if a.group]
+        return (grouped[0].id, grouped[0].group) if grouped else ("", "")
 
     def announce(self, now: int, voter: Voter) -> None:
-        """Tell the other voters' machines that this disk is there."""
-        self.announce_at = now + ANNOUNCE_EVERY
+        """Announces this disk to the other instances that the settings name as voters."""
+        self.announce_at = now + ANNOUNCE_INTERVAL_NS
         announcement = VoterAnnouncement(voter.id not in voter.raft.voters)
         for name in self._context.wanted_voters:
             if name != self._context.name:
                 self._send(now, name, announcement)
 
     def update_voters(self, now: int, voter: Voter) -> None:
-        """Where this voter leads, make the voters those that the settings want, one at a time
-        (Ongaro, 4.1): who came back with another disk or is wanted no more goes out, who is there
-        and level comes in."""
-        there = {
-            name: heard.id
-            for name, heard in self._heard.items()
-            if now - heard.at <= ANNOUNCED_FOR and (heard.is_learner or heard.group == voter.group)
+        """On the leader, changes the membership towards the voters that the settings name, one
+        voter at a time (Ongaro, 4.1). A voter that the settings no longer name, or whose instance
+        came back with another disk, is removed; a disk that is present and caught up is added."""
+        present = {
+            name: latest.id
+            for name, latest in self._announcements.items()
+            if now - latest.at <= ANNOUNCEMENT_VALID_NS
+            and (latest.is_learner or latest.group == voter.group)
         }
-        there[self._context.name] = voter.id
-        if not self._take_out(now, voter, there):
-            self._take_in(now, voter, there)
+        present[self._context.name] = voter.id
+        if not self._remove_voter(now, voter, present):
+            self._add_voter(now, voter, present)
 
-    def _take_out(self, now: int, voter: Voter, there: dict[str, str]) -> bool:
-        """Whether a voter was taken out."""
+    def _remove_voter(self, now: int, voter: Voter, present: dict[str, str]) -> bool:
+        """Removes one voter that has to go. Returns whether the removal was proposed."""
         voters = voter.raft.voters
-        lately = set(voter.recently_heard_voters(now))
+        recently_heard = set(voter.recently_heard_voters(now))
         for name, old in {name_of(v): v for v in voters}.items():
-            gone = name not in self._context.wanted_voters
-            replaced = there.get(name, old) != old
-            rest = [v for v in voters if v != old]
-            # What is left has to have a majority that is there, or nothing is agreed any more.
-            enough = 2 * len(lately & set(rest)) > len(rest)
-            if (gone or replaced) and rest and enough:
-                why = "is wanted no more" if gone else f"came back as {there[name]}"
-                if not voter.change_voters(now, tuple(rest)):
+            unwanted = name not in self._context.wanted_voters
+            replaced = present.get(name, old) != old
+            remaining = [v for v in voters if v != old]
+            # A majority of the remaining voters has to be present. Otherwise the group could
+            # commit nothing more after the removal.
+            has_majority = 2 * len(recently_heard & set(remaining)) > len(remaining)
+            if (unwanted or replaced) and remaining and has_majority:
+                why = "is wanted no more" if unwanted else f"came back as {present[name]}"
+                if not voter.change_voters(now, tuple(remaining)):
                     self._context.events.add(now, f"takes {old} out of the voters: it {why}")
                     return True
         return False
 
-    def _take_in(self, now: int, voter: Voter, there: dict[str, str]) -> None:
-        """Teach one that is missing, or take it in once it is level."""
+    def _add_voter(self, now: int, voter: Voter, present: dict[str, str]) -> None:
+        """Makes a missing voter's disk a learner, or adds it to the voters once it is caught up."""
         raft = voter.raft
         names = {name_of(v) for v in raft.voters}
         for name in self._context.wanted_voters:
-            if name in names or name not in there:
+            if name in names or name not in present:
                 continue
-            new = there[name]
+            new = present[name]
             if new not in raft.learners:
                 voter.add_learner(now, new)
                 return
