--- a/tansywood/lease/exchange.py
+++ b/tansywood/lease/exchange.py
@@ -1,5 +1,5 @@
-"""Messages between lease clients: cut in fragments on their way out, put together on their way in,
-and which messages of a voter are accepted. Pure."""
+"""Sends and receives messages between lease clients in fragments, and decides which messages of
+voters are accepted. Pure."""
 
 from __future__ import annotations
 
@@ -15,26 +15,28 @@
 from tansywood.lease.raft import MS
 from tansywood.lease.voter import Voter
 
-PAST_LIVES = 8  # of a voter's disk that are remembered
+MAX_PAST_LIVES = 8  # earlier processes that are remembered for each voter's disk
 Deliver = Callable[[int, str, bytes, str, str, AnyMessage], None]
 
 
 class Exchange:
-    """Fragments to and from other instances. What is for this one is delivered at once."""
+    """Fragments to and from other instances. A message to this instance itself is delivered at
+    once, without fragments."""
 
     def __init__(self, context: Context, deliver: Deliver) -> None:
-        """`deliver(now, name, life, sender, to, message)` takes what is for this instance."""
-        self.sends: list[tuple[str, Fragment]] = []  # to addresses
+        """`deliver(now, name, life, sender, to, message)` handles a message to this instance."""
+        self.sends: list[tuple[str, Fragment]] = []  # address and fragment
         self._context = context
         self._deliver = deliver
         self._reassembly = Reassembly()
-        self._number = context.rng.getrandbits(48)  # of the last message
+        self._number = context.rng.getrandbits(48)  # number of the last message
 
     def send(
         self, now: int, sender: str, to: str, message: AnyMessage, voter: Voter | None
     ) -> None:
-        """To a voter's or a holder's id, or to whatever votes at an instance of that name. `voter`
-        is the one here, of whose group and disk every fragment tells."""
+        """Sends a message to a voter's or a holder's id, or to the voter of the instance that `to`
+        names. Every fragment carries the group and the saves of `voter`, the voter of this
+        instance. A message to an instance without a known address is dropped."""
         context = self._context
         if name_of(to) == context.name:
             self._deliver(now, context.name, context.life, sender, to, message)
@@ -53,8 +55,11 @@
             self.sends.append((address, fragment))
 
     def read(self, now: int, name: str, life: bytes, fragment: Fragment) -> AnyMessage | None:
-        """The message that this fragment of an instance makes whole, if it does. Instances that go
-        by another length of leases are not heard, and nobody speaks in another's name."""
+        """Adds a fragment that the instance `name` sent; returns its message once it is complete.
+
+        A fragment is dropped and counted where the sender uses another lease duration, where its
+        sender id names another instance, or where the message can't be decoded.
+        """
         counts = self._context.counts
         if fragment.length_ms != self._context.terms.duration_ns // MS:
             counts["length"] += 1
@@ -62,65 +67,71 @@
         if name_of(fragment.sender) != name:
             counts["stale"] += 1
             return None
-        whole = self._reassembly.take(now, life, fragment)
-        if whole is None:
+        encoded = self._reassembly.take(now, life, fragment)
+        if encoded is None:
             return None
         try:
-            return unpack(whole)
+            return unpack(encoded)
         except msgspec.MsgspecError:
             counts["unread"] += 1
             return None
 
 
 class Admission:
-    """Which messages of voters are gone by: of honest disks, and of our own group."""
+    """Decides which messages of voters are accepted: only those of disks that have lost no saves,
+    and only those of this voter's group."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self._lives: dict[str, bytes] = {}  # of the processes that speak for voters' disks
-        self._past: dict[str, deque[bytes]] = {}
+        self._current_lives: dict[str, bytes] = {}  # by disk: the process that uses it
+        self._past_lives: dict[str, deque[bytes]] = {}  # by disk: processes that used it before
 
     def check_disk(self, voter: Voter, life: bytes, fragment: Fragment) -> int:
-        """0 where a voter's disk has all that it said before. One that has less was restored from
-        a copy, or lost what it had synced: nothing of it counts, and the number of saves that it
-        has told of is returned. -1 for a life that another has followed."""
+        """Checks that the sending voter's disk still holds all saves that it reported before.
+
+        Returns 0 where it does. A disk with fewer saves was restored from a copy or lost data that
+        it had synced: its messages are not accepted, and the number of saves that it reported
+        before is returned. Returns -1 for a process that a later process of the disk replaced.
+        """
         sender = fragment.sender
-        known = self._lives.get(sender)
-        past = self._past.setdefault(sender, deque(maxlen=PAST_LIVES))
-        if life in past:
+        current_life = self._current_lives.get(sender)
+        past_lives = self._past_lives.setdefault(sender, deque(maxlen=MAX_PAST_LIVES))
+        if life in past_lives:
             self._context.counts["stale"] += 1
             return -1
-        most = voter.known_saves.get(sender, 0)
-        if known != life:
-            if fragment.saves < most:
+        max_saves = voter.known_saves.get(sender, 0)
+        if current_life != life:
+            if fragment.saves < max_saves:
                 self._context.counts["behind"] += 1
-                return most
-            if known is not None:
-                past.append(known)
-            self._lives[sender] = life
-        voter.known_saves[sender] = max(most, fragment.saves)
+                return max_saves
+            if current_life is not None:
+                past_lives.append(current_life)
+            self._current_lives[sender] = life
+        voter.known_saves[sender] = max(max_saves, fragment.saves)
         return 0
 
     def check_group(
         self, voter: Voter | None, fragment: Fragment, message: Message
     ) -> tuple[bool, str]:
-        """Whether a message of the log is of our group and for this disk; and why our disk is to be
-        put aside for a blank one, if it is."""
+        """Whether to accept a Raft message: it has to be addressed to this voter's disk and to come
+        from its group. The second value is the reason to put this voter's disk aside for a blank
+        one, or an empty string."""
         counts = self._context.counts
         if voter is None or fragment.to != voter.id:
             counts["stale"] += 1
             return False, ""
         if fragment.group == voter.group:
             return True, ""
-        aside = ""
-        teaches = isinstance(message, AppendEntries | InstallSnapshot)
-        if teaches and name_of(fragment.sender) in self._context.wanted_voters:
+        aside_reason = ""
+        is_replication = isinstance(message, AppendEntries | InstallSnapshot)
+        if is_replication and name_of(fragment.sender) in self._context.wanted_voters:
             if not voter.group:
-                voter.group = fragment.group  # a blank disk is taken in by who teaches it first
+                # A blank disk joins the first group that replicates its log to it.
+                voter.group = fragment.group
                 return True, ""
             if voter.id not in voter.raft.voters:
-                # What it learned was of a group that did not come to take it in. As another disk
-                # it may learn of this one; for the first it is lost, which it has to outlast.
-                aside = f"it learned of group {voter.group}, {fragment.group} takes it in"
+                # This disk holds the log of a group that never made it a voter. A blank disk can
+                # join the new group. The first group loses this learner, which it has to tolerate.
+                aside_reason = f"it learned of group {voter.group}, {fragment.group} takes it in"
         counts["foreign"] += 1
-        return False, aside
+        return False, aside_reason
--- a/tansywood/lease/voter.py
+++ b/tansywood/lease/voter.py
@@ -1,10 +1,9 @@
-"""One voter's life on a disk that takes its time. Pure: the disk and the network are told what to
-do and tell when it is done.
+"""One voter on a slow disk. Pure: the caller writes to the disk, sends the messages and reports
+when a write is complete.
 
-Everything that the log asks to be sent waits until what it asks to be kept lies on the disk. While
-one write is under way the log goes on; what it asks for meanwhile becomes one more write, and all
-that is to be sent behind it goes when that one is done. A disk that takes five seconds makes a
-voter that answers late, and nothing else.
+Raft's messages wait until the state that they depend on is on the disk. Raft continues while a
+write is under way: all changes of that time become one further write, and their messages are sent
+when that write is complete. A voter whose disk takes five seconds therefore only replies late.
 """
 
 from __future__ import annotations
@@ -22,12 +21,14 @@
 from tansywood.lease.terms import LeaseTerms
 from tansywood.store.engine import Batch
 
-MOST = 4096  # messages that wait for a disk: beyond it the oldest are lost, as on a network
+# Messages that may wait for the disk. Beyond this the oldest are dropped, as a network may drop
+# them.
+MAX_WAITING_MESSAGES = 4096
 Send = tuple[str, Message | LeaseReply]
 
 
 class Voter:
-    """From the reading of its disk to the end of the process, or of the disk."""
+    """One voter from the time its disk was read until the process ends or the disk fails."""
 
     def __init__(
         self,
@@ -40,35 +41,36 @@
     ) -> None:
         self.kept = kept
         self.group = kept.group
-        self.known_saves = dict(kept.known_saves)  # of other voters: saves that they have told of
+        self.known_saves = dict(kept.known_saves)  # saves reported by other voters, by id
         self.service = LeaseService(
             Raft(kept.id, kept.saved, timing, rng, now), terms, snapshot_every
         )
-        self.service.on_change = self._changed
+        self.service.on_change = self._record_change
         self.changes: list[TableChange] = []
-        self.granted_at: dict[str, int] = {}  # when each lease was seen to be granted
+        self.granted_at: dict[str, int] = {}  # time at which this voter applied the grant
         self._now = now
-        self._unsaved: PersistentState | None = None  # to be written next
+        self._unsaved: PersistentState | None = None  # state of the next write
         self._writing: tuple[DiskContents, deque[Send]] | None = None
-        self._behind: deque[Send] = deque(maxlen=MOST)  # sent once all above is written
+        # Messages that may be sent once `_unsaved` and `_writing` are on the disk:
+        self._waiting: deque[Send] = deque(maxlen=MAX_WAITING_MESSAGES)
         self._ready: list[Send] = []
 
     @property
     def id(self) -> str:
-        """Of the disk."""
+        """The id of the voter's disk, which identifies the voter."""
         return self.kept.id
 
     @property
     def raft(self) -> Raft:
-        """The log."""
+        """The voter's replicated log."""
         return self.service.raft
 
     @property
     def leads(self) -> bool:
-        """Whether it was elected and has an entry of its own term committed."""
+        """Whether this voter was elected and has committed an entry of its own term."""
         return self.raft.is_ready_leader
 
-    def _changed(self, _index: int, change: TableChange) -> None:
+    def _record_change(self, _index: int, change: TableChange) -> None:
         self.changes.append(change)
         for name, _ in change.granted:
             self.granted_at[name] = self._now
@@ -76,109 +78,113 @@
             self.granted_at.pop(name, None)
 
     def lead_alone(self, now: int, snapshot: Snapshot) -> None:
-        """Lead a group of this disk alone, from here on, whatever its log held."""
+        """Replaces the log by a snapshot and leads a group that consists of this disk alone."""
         self.raft.reset_to_snapshot(snapshot)
         self.service.table = LeaseTable.load(snapshot.data)
         self.raft.campaign(now)
         self._collect(now)
 
-    # ---- what comes ----------------------------------------------------------------------------
+    # ---- input ---------------------------------------------------------------------------------
 
     def receive(self, now: int, sender: str, message: Message) -> None:
-        """A message of another voter."""
+        """Handles another voter's message."""
         self._now = now
         self.raft.receive(now, sender, message)
         self.service.queue_due_replies(now)
         self._collect(now)
 
-    def receive_request(self, now: int, ask: LeaseRequest) -> None:
-        """A holder's ask."""
+    def receive_request(self, now: int, request: LeaseRequest) -> None:
+        """Handles a holder's request."""
         self._now = now
-        self.service.handle_request(now, ask.holder, ask)
+        self.service.handle_request(now, request.holder, request)
         self._collect(now)
 
     def tick(self, now: int) -> None:
-        """Whatever is due by now."""
+        """Does everything that is due."""
         self._now = now
         self.service.tick(now)
         self._collect(now)
 
     def grant(self, now: int, rows: Iterable[tuple[str, str]]) -> None:
-        """Several at once, in one round."""
-        done = [self.service.grant(now, name, holder) for name, holder in rows]
-        if any(done):
+        """Proposes to grant each lease to its holder; all grants share one round."""
+        proposed = [self.service.grant(now, name, holder) for name, holder in rows]
+        if any(proposed):
             self.raft.send_heartbeats(now)
         self._collect(now)
 
     def change_voters(self, now: int, voters: tuple[str, ...]) -> str:
-        """Propose other voters; says why not, or nothing."""
-        why = self.raft.change_voters(now, voters)
+        """Proposes another membership. Returns the reason of a refusal, or an empty string."""
+        refusal = self.raft.change_voters(now, voters)
         self._collect(now)
-        return why
+        return refusal
 
     def add_learner(self, now: int, learner: str) -> None:
-        """Send the log to a disk that does not vote yet."""
+        """Replicates the log to a disk that does not vote yet."""
         self.raft.add_learner(now, learner)
         self._collect(now)
 
     def next_due(self) -> int:
-        """When `tick` has something to do."""
+        """The time at which `tick` next has something to do."""
         return self.service.next_due()
 
-    # ---- what goes -----------------------------------------------------------------------------
+    # ---- output --------------------------------------------------------------------------------
 
     def _collect(self, now: int) -> None:
+        """Collects the output of the log until applying it causes no more. Messages are ready at
+        once only where no state has to be written before them."""
         while True:
             out = self.service.take(now)
-            answers, self.service.replies = self.service.replies, []
+            replies, self.service.replies = self.service.replies, []
             if out.saved is not None:
                 self._unsaved = out.saved
-            sends: list[Send] = [*out.sends, *answers]
+            sends: list[Send] = [*out.sends, *replies]
             if self._unsaved is None and self._writing is None:
                 self._ready += sends
             else:
-                self._behind.extend(sends)
+                self._waiting.extend(sends)
             if not out.committed and not sends and out.saved is None:
                 return
 
     def next_write(self) -> Batch | None:
-        """What to write now, synced; `written` or the end of this voter is the answer to it."""
+        """The batch to write and sync now; None where a write is under way or nothing changed. The
+        caller answers with `complete_write`, or ends this voter where the write fails."""
         if self._writing is not None or self._unsaved is None:
             return None
         kept, batch = plan_write(self.kept, self._unsaved, self.group, self.known_saves)
         self._unsaved = None
-        self._writing = (kept, self._behind)
-        self._behind = deque(maxlen=MOST)
+        self._writing = (kept, self._waiting)
+        self._waiting = deque(maxlen=MAX_WAITING_MESSAGES)
         return batch
 
     def complete_write(self) -> None:
-        """What `next_write` gave lies on the disk: what waited for it may go."""
+        """Records that the batch of `next_write` is on the disk; its messages are ready to send."""
         assert self._writing is not None
         self.kept, sends = self._writing
         self._writing = None
         self._ready += sends
         if self._unsaved is None:
-            self._ready += self._behind
-            self._behind.clear()
+            self._ready += self._waiting
+            self._waiting.clear()
 
     def sends(self) -> list[Send]:
-        """What may go by now, in order."""
+        """Removes and returns the messages that are ready to send, in order."""
         ready, self._ready = self._ready, []
         return ready
 
     @property
     def is_writing(self) -> bool:
-        """Whether something waits for the disk."""
+        """Whether a write to the disk is under way."""
         return self._writing is not None
 
     def recently_heard_voters(self, now: int) -> list[str]:
-        """Voters that a leader has heard from within two elections; itself always."""
+        """The voters that the leader heard from within two election timeouts, including the leader
+        itself; empty where this voter does not lead."""
         raft = self.raft
         if raft.role != LEADER:
             return []
-        patience = 2 * raft.timing.election_timeout_ns
+        max_silence_ns = 2 * raft.timing.election_timeout_ns
         return [
             v
             for v in raft.voters
-            if v == raft.name or now - raft.last_heard_at.get(v, 0) <= patience
+            if v == raft.name or now - raft.last_heard_at.get(v, 0) <= max_silence_ns
         ]
