--- a/tests/lease/test_disk.py
+++ b/tests/lease/test_disk.py
@@ -1,4 +1,4 @@
-"""What a voter promised lasts over a crash at every operation of its disk."""
+"""A voter's persistent state survives a crash at any operation of its disk."""
 
 from __future__ import annotations
 
@@ -13,22 +13,23 @@
 from tansywood.store import Store
 
 
-def opened(disk: Disk) -> Store:
+def open_store(disk: Disk) -> Store:
     return Store.open(files=disk, segment_bytes=4096, least_garbage=512)
 
 
-def step(rng: Random, saved: PersistentState) -> PersistentState:
-    """A vote, entries, a tail that another leader cut, a snapshot: as Raft may ask for."""
+def random_next_state(rng: Random, saved: PersistentState) -> PersistentState:
+    """A random change that Raft may make: a new term with a vote, more entries, a log tail replaced
+    by another leader's entries, a compaction, or an installed snapshot."""
     kind = rng.randrange(5)
     entries, snapshot = list(saved.entries), saved.snapshot
-    last = snapshot.index + len(entries)
+    last_index = snapshot.index + len(entries)
     if kind == 0:
         return PersistentState(saved.term + 1, rng.choice("abc"), snapshot, saved.entries)
     if kind == 1 and entries:
-        at = rng.randrange(len(entries))
+        cut_at = rng.randrange(len(entries))
         term = saved.term + 1
-        row = tuple(Entry(term, COMMAND, rng.randbytes(9)) for _ in range(rng.randrange(3)))
-        return PersistentState(term, "", snapshot, (*entries[:at], *row))
+        replacement = tuple(Entry(term, COMMAND, rng.randbytes(9)) for _ in range(rng.randrange(3)))
+        return PersistentState(term, "", snapshot, (*entries[:cut_at], *replacement))
     if kind == 2 and len(entries) > 3:
         index = snapshot.index + rng.randrange(1, len(entries) + 1)
         term = entries[index - snapshot.index - 1].term
@@ -37,65 +38,69 @@
             saved.term, saved.voted_for, Snapshot(index, term, ("a",), b"table"), rest
         )
     if kind == 3 and rng.random() < 0.2:
-        whole = Snapshot(last + rng.randrange(1, 9), saved.term, ("a", "b"), rng.randbytes(50))
-        return PersistentState(saved.term, saved.voted_for, whole, ())
+        installed = Snapshot(
+            last_index + rng.randrange(1, 9), saved.term, ("a", "b"), rng.randbytes(50)
+        )
+        return PersistentState(saved.term, saved.voted_for, installed, ())
     more = [Entry(saved.term, COMMAND, rng.randbytes(20)) for _ in range(rng.randrange(1, 5))]
     return PersistentState(saved.term, saved.voted_for, snapshot, (*entries, *more))
 
 
-def play(disk: Disk, seed: int, told: Callable[[DiskContents], None]) -> None:
+def write_random_states(disk: Disk, seed: int, on_progress: Callable[[DiskContents], None]) -> None:
     rng = Random(seed)
-    store = opened(disk)
-    kept = DiskContents("a/1", "g")
+    store = open_store(disk)
+    contents = DiskContents("a/1", "g")
     for _ in range(60):
-        made, batch = plan_write(kept, step(rng, kept.saved), "g", {"b/2": kept.saves})
-        told(made)  # on its way
+        written, batch = plan_write(
+            contents, random_next_state(rng, contents.saved), "g", {"b/2": contents.saves}
+        )
+        on_progress(written)  # before the write
         store.write(batch, durable=True)
-        kept = made
-        told(made)  # said
+        contents = written
+        on_progress(written)  # after the synced write
     store.close()
 
 
-def plain(kept: DiskContents) -> tuple[object, ...]:
-    return kept.id, kept.group, kept.saves, kept.saved, kept.known_saves
+def comparable(contents: DiskContents) -> tuple[object, ...]:
+    return contents.id, contents.group, contents.saves, contents.saved, contents.known_saves
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_crash_at_every_operation_keeps_what_was_said_and_no_more_than_was_begun(
+def test_a_crash_at_any_disk_operation_loses_no_synced_state(
     seed: int,
 ) -> None:
-    whole = Disk()
-    play(whole, seed, lambda _kept: None)
-    for number in range(1, whole.count + 1, 3):
+    undisturbed = Disk()
+    write_random_states(undisturbed, seed, lambda _contents: None)
+    for crash_at in range(1, undisturbed.count + 1, 3):
         disk = Disk()
-        said: list[DiskContents] = []
+        progress: list[DiskContents] = []
 
-        def before(count: int, _what: str, number: int = number) -> None:
-            if count == number:
+        def before(count: int, _operation: str, crash_at: int = crash_at) -> None:
+            if count == crash_at:
                 raise Crash
 
         disk.before = before
         with pytest.raises(Crash):
-            play(disk, seed, said.append)
-        after = opened(disk.crashed(Random(number)))
+            write_random_states(disk, seed, progress.append)
+        after = open_store(disk.crashed(Random(crash_at)))
         found = load(after)
-        begun = said[-1] if said else None
-        done = said[-2] if len(said) > 1 else None
+        last_begun = progress[-1] if progress else None
+        last_synced = progress[-2] if len(progress) > 1 else None
         if found is None:
-            assert done is None
+            assert last_synced is None
         else:
-            rows = [plain(k) for k in (begun, done) if k is not None]
-            assert plain(found) in rows, (number, found)
+            allowed = [comparable(k) for k in (last_begun, last_synced) if k is not None]
+            assert comparable(found) in allowed, (crash_at, found)
         after.close()
 
 
-def test_a_disk_that_is_none_of_a_voters_is_told() -> None:
-    store = opened(Disk())
+def test_a_foreign_or_damaged_disk_is_refused_with_a_remedy() -> None:
+    store = open_store(Disk())
     assert load(store) is None
     store.put(b"other", b"thing")
     with pytest.raises(DiskError, match="name another"):
         load(store)
-    made, batch = plan_write(
+    written, batch = plan_write(
         DiskContents("a/1"), PersistentState(1, "", Snapshot(), (Entry(1, 0), Entry(1, 0))), "g", {}
     )
     store.write(batch)
@@ -106,4 +111,4 @@
     with pytest.raises(DiskError, match="start blank"):
         load(store)
     store.close()
-    assert made.saves == 1
+    assert written.saves == 1
