--- a/tansywood/lease/context.py
+++ b/tansywood/lease/context.py
@@ -40,9 +40,7 @@
 
     name: str
     life: bytes
-    wanted_voters: tuple[
-        str, ...
-    ]  # instances that the settings name as voters, the same everywhere
+    wanted_voters: tuple[str, ...]  # instances that the settings of all instances name as voters
     terms: LeaseTerms
     rng: Random
     peers: dict[str, Peer] = field(default_factory=dict)  # by name, including this instance
--- a/tansywood/lease/messages.py
+++ b/tansywood/lease/messages.py
@@ -37,9 +37,8 @@
     ok: bool
     leases: tuple[tuple[str, int], ...] = ()
     leader: str = ""
-    unreachable_holders: tuple[
-        str, ...
-    ] = ()  # holders whose requests arrive but which get no reply: grant them nothing
+    # Holders whose requests arrive but which get no reply; nothing may be granted to them.
+    unreachable_holders: tuple[str, ...] = ()
 
 
 class VoterAnnouncement(Struct, array_like=True, frozen=True, tag="here"):
--- a/tansywood/lease/raft.py
+++ b/tansywood/lease/raft.py
@@ -42,8 +42,9 @@
     def tick(self, now: int) -> None:
         """Sends a heartbeat or starts an election if one is due."""
         if self.role == LEADER:
-            # The quorum is checked on every tick: each round that a request starts postpones the
-            # next due heartbeat, so a busy leader might never reach a check made only then.
+            # The quorum is checked on every tick, not only when a heartbeat is due. Every request
+            # starts a round, which postpones the next heartbeat, so on a busy leader no heartbeat
+            # might ever become due.
             self._check_quorum(now)
         if now < self.due:
             return
--- a/tansywood/lease/terms.py
+++ b/tansywood/lease/terms.py
@@ -18,7 +18,7 @@
 
     duration_ns: int = 4 * SECOND
     max_clock_skew_fraction: float = 0.1  # largest difference between the rates of two clocks
-    renew_interval_ns: int = SECOND  # a lease outlasts three lost renewals
+    renew_interval_ns: int = SECOND  # by default three renewals in a row may be lost
 
     def __post_init__(self) -> None:
         if not 0 <= self.max_clock_skew_fraction < 0.5:
