--- a/tansywood/fleet/allocation.py
+++ b/tansywood/fleet/allocation.py
@@ -1,10 +1,10 @@
-"""How much of each limit one instance may use: allocators grant, holders claim. Pure.
+"""Allocators grant units of each limit, and holders claim them. Pure: no I/O and no clock reads.
 
-A limit is cut into fixed slices, one for each allocator. An allocator grants units of its slice for
-a limited time; units that are granted and not certainly over are not granted again. See
-docs/design/fleet.md for why the sum over all instances never exceeds the limit.
+Each limit is divided into fixed slices, one per allocator. An allocator grants units of its slice
+for a limited time and does not grant them again until the earlier grant has certainly expired.
+docs/design/fleet.md shows why the sum over all instances never exceeds the limit.
 
-Amounts are whole units: thousandths of a request a second for a rate, requests for open requests
+Amounts are whole units: thousandths of a request per second for a rate, requests for open requests
 and for places at a server. Times are nanoseconds of this process's monotonic clock; only their
 differences matter, and the clocks of two processes are never compared.
 """
@@ -22,99 +22,100 @@
 from tansywood.fleet.terms import GrantTerms
 
 RATE, OPEN, AT = "rate", "open", "at"
-FLOOR_DIVISOR = 50  # one unit in so many of its slice an allocator keeps for itself
-FLOOR_FROM = 4  # units of a slice, from which an allocator keeps one at least
+FLOOR_DIVISOR = 50  # an allocator reserves one unit in 50 of its slice for its own workers
+MIN_SLICE_UNITS_WITH_FLOOR = 4  # a slice of at least this many units has a floor of at least one
 
 
 def rate_key(tenant: str) -> str:
-    """The limit key of a tenant's rate."""
+    """Return the limit key of a tenant's request rate."""
     return f"{tenant}/{RATE}"
 
 
 def open_key(tenant: str) -> str:
-    """The limit key of a tenant's open requests."""
+    """Return the limit key of a tenant's open requests."""
     return f"{tenant}/{OPEN}"
 
 
 def places_key(tenant: str, server: str) -> str:
-    """The limit key of a tenant's places at one of its servers."""
+    """Return the limit key of a tenant's concurrent requests at one of its servers."""
     return f"{tenant}/{AT}/{server}"
 
 
 def tenant_of(key: str) -> str:
-    """The tenant of a limit key."""
+    """Return the tenant that a limit key belongs to."""
     return key.partition("/")[0]
 
 
 def slice_of(key: str, whole: int, allocators: int, index: int) -> int:
-    """Units of `whole` that belong to allocator `index` of `allocators`. The slices sum to `whole`
-    exactly; which allocators have the odd units differs from key to key."""
-    place = (index - crc32(key.encode())) % allocators
-    return whole // allocators + (place < whole % allocators)
+    """Return the units of `whole` that belong to allocator `index` of `allocators`. The slices sum
+    to `whole` exactly; the key determines which allocators get the remaining units."""
+    position = (index - crc32(key.encode())) % allocators
+    return whole // allocators + (position < whole % allocators)
 
 
 def floor_of(units: int) -> int:
-    """Units of its slice that an allocator keeps for its own workers and grants to nobody."""
-    return max(units // FLOOR_DIVISOR, 1 if units >= FLOOR_FROM else 0)
+    """Return how many units of its slice an allocator reserves for its own workers and never
+    grants."""
+    return max(units // FLOOR_DIVISOR, 1 if units >= MIN_SLICE_UNITS_WITH_FLOOR else 0)
 
 
 @dataclass(slots=True)
 class _OutstandingGrant:
-    """One grant that may still be in use."""
+    """A grant that may still be in use at its holder."""
 
     seq: int
     amount: int
-    end: int  # certainly over then
+    end: int  # time at which the grant has certainly expired
 
 
 @dataclass(slots=True)
 class _Claimant:
-    """What an allocator knows of one holder of one limit."""
+    """An allocator's record of one holder of one limit."""
 
-    need: int = 0
-    at: int = 0  # of its last claim
-    seq: int = -1  # of its last claim
+    need: int = 0  # units that the last claim asked for
+    claimed_at: int = 0  # time of the last claim
+    seq: int = -1  # sequence number of the last claim
     grants: list[_OutstandingGrant] = field(default_factory=list)
-    reserved: int = 0  # units: the largest of `grants`
+    reserved: int = 0  # units: the largest amount in `grants`
 
 
 class _LimitSlice:
-    """One limit's slice at its allocator."""
+    """The slice of one limit at its allocator."""
 
-    def __init__(self, units: int, tail: int, born: int) -> None:
-        """`tail`: nanoseconds that a request taken under a grant may last beyond it; `born`: from
-        when on this allocator knows all that was granted."""
+    def __init__(self, units: int, tail: int, known_since: int) -> None:
+        """`tail` is how many nanoseconds a request admitted under a grant may outlast that grant.
+        `known_since` is the time from which this allocator knows of every grant of the slice."""
         self.units = units
         self.tail = tail
-        self.born = born
+        self.known_since = known_since
         self.claimants: dict[bytes, _Claimant] = {}  # by the life of the holder's process
-        self.reserved = 0  # units, over all claimants
-        self.ends: list[tuple[int, bytes]] = []  # heap
-        self.credit: dict[bytes, float] = {}
-        self.allocated: dict[bytes, int] = {}
+        self.reserved = 0  # units, summed over all claimants
+        self.ends: list[tuple[int, bytes]] = []  # heap of grant ends, with the holder's life
+        self.credit: dict[bytes, float] = {}  # fractional units owed, by the holder's life
+        self.allocated: dict[bytes, int] = {}  # units, by the holder's life
         self.allocated_at = 0
 
     @property
     def allocatable(self) -> int:
-        """Units that may be granted: all but the floor."""
+        """Units that may be granted: the slice without its floor."""
         return self.units - floor_of(self.units)
 
     def recount(self, life: bytes, c: _Claimant, now: int) -> None:
-        """Drop grants of a claimant that are over, and reserve the largest of the others."""
+        """Drop a claimant's expired grants and reserve the largest of the remaining ones."""
         c.grants = [g for g in c.grants if g.end > now]
         reserved = max((g.amount for g in c.grants), default=0)
         self.reserved += reserved - c.reserved
         c.reserved = reserved
 
-    def lengthen(self, by: int) -> None:
-        """All outstanding grants end `by` nanoseconds later."""
+    def extend_grants(self, by: int) -> None:
+        """Move the end of every outstanding grant `by` nanoseconds later."""
         for life, c in self.claimants.items():
             for g in c.grants:
                 g.end += by
                 heappush(self.ends, (g.end, life))
 
     def expire(self, now: int) -> None:
-        """Free what is over by now."""
+        """Release the units of grants that have expired by `now`."""
         while self.ends and self.ends[0][0] <= now:
             life = heappop(self.ends)[1]
             c = self.claimants.get(life)
@@ -124,16 +125,21 @@
                     del self.claimants[life]
 
     def allocate(self, now: int, terms: GrantTerms) -> None:
-        """Divide the slice anew among those that claimed lately."""
-        needs = {w: c.need for w, c in self.claimants.items() if now - c.at <= terms.grant_ns}
-        had = {w: c.grants[-1].amount for w, c in self.claimants.items() if c.grants}
-        self.allocated = allocate(self.allocatable, needs, self.credit, had)
+        """Divide the slice again among the holders that claimed within the length of a grant."""
+        needs = {
+            life: c.need
+            for life, c in self.claimants.items()
+            if now - c.claimed_at <= terms.grant_ns
+        }
+        previous = {life: c.grants[-1].amount for life, c in self.claimants.items() if c.grants}
+        self.allocated = allocate(self.allocatable, needs, self.credit, previous)
         self.allocated_at = now
 
     def claim(
         self, now: int, life: bytes, seq: int, entry: ClaimEntry, terms: GrantTerms, ready: bool
     ) -> int:
-        """Units granted by this claim; -1 where it is older than one that was answered."""
+        """Grant units for a claim and return the amount; -1 for a claim that is not newer than
+        the last one answered."""
         self.expire(now)
         c = self.claimants.get(life)
         new = c is None
@@ -142,12 +148,12 @@
         if seq <= c.seq:
             return -1
         c.seq = seq
-        woke = entry.need > 0 and not c.need
+        became_active = entry.need > 0 and not c.need
         c.need = entry.need
-        c.at = now
+        c.claimed_at = now
         c.grants = [g for g in c.grants if g.seq >= entry.applied]
         self.recount(life, c, now)
-        if new or woke or now - self.allocated_at >= terms.claim_interval_ns:
+        if new or became_active or now - self.allocated_at >= terms.claim_interval_ns:
             self.allocate(now, terms)
         free = self.allocatable - (self.reserved - c.reserved)
         amount = max(min(self.allocated.get(life, 0), free), 0) if ready else 0
@@ -156,7 +162,8 @@
         return amount
 
     def _grant(self, life: bytes, c: _Claimant, grant: _OutstandingGrant) -> None:
-        """Keep a grant; one of the same amount as the last is the last for longer."""
+        """Record a grant. A grant of the same amount as the last one replaces it, which extends
+        it."""
         if c.grants and c.grants[-1].amount == grant.amount:
             c.grants[-1] = grant
         else:
@@ -164,65 +171,67 @@
         heappush(self.ends, (grant.end, life))
 
     def give_back(self, now: int, life: bytes, seq: int, terms: GrantTerms) -> None:
-        """A holder uses nothing any more."""
+        """Release all units of a holder, which no longer uses any."""
         c = self.claimants.get(life)
         if c is not None and seq > c.seq:
             c.seq = seq
             c.need = 0
-            c.at = now - terms.grant_ns - 1
+            c.claimed_at = now - terms.grant_ns - 1
             c.grants = []
             self.recount(life, c, now)
 
 
 class Allocator:
-    """Grants the slices of one allocator, for one life of its process."""
+    """Grants units of one allocator's slices during one life of its process."""
 
     def __init__(self, terms: GrantTerms, allocators: int, index: int, now: int) -> None:
-        """The slices of allocator `index` of `allocators`, from `now` on."""
+        """Start granting the slices of allocator `index` of `allocators` at `now`. Raises
+        ValueError for an index out of range."""
         if not 0 <= index < allocators:
-            raise ValueError(f"allocator {index} of {allocators}")
+            raise ValueError(f"allocator index out of range: {index} of {allocators}")
         self.terms = terms
         self.allocators = allocators
         self.index = index
-        self.born = now
+        self.started_at = now
         self.slices: dict[str, _LimitSlice] = {}  # by limit key
-        self._dropped: dict[str, tuple[int, int]] = {}  # when, and with what tail
+        self._dropped: dict[str, tuple[int, int]] = {}  # by limit key: time of the drop, and tail
 
     def set_limit(self, key: str, whole: int, tail: int) -> None:
-        """The limit is `whole` units from now on; a request taken under a grant is over `tail`
-        nanoseconds after the grant's end. A longer tail holds for outstanding grants too, a shorter
-        one does not."""
+        """Set a limit to `whole` units over all allocators. A request admitted under a grant ends
+        at most `tail` nanoseconds after the grant. A longer tail also applies to outstanding
+        grants, a shorter one does not."""
         units = slice_of(key, whole, self.allocators, self.index)
         known = self.slices.get(key)
         if known is None:
-            born, before = self._dropped.pop(key, (self.born, tail))
-            self.slices[key] = _LimitSlice(units, max(tail, before), born)
+            known_since, old_tail = self._dropped.pop(key, (self.started_at, tail))
+            self.slices[key] = _LimitSlice(units, max(tail, old_tail), known_since)
         else:
             known.units = units
             if tail > known.tail:
-                # What is taken from now on under an outstanding grant lasts longer too.
-                known.lengthen(
+                # Requests admitted from now on under an outstanding grant may last longer too.
+                known.extend_grants(
                     self.terms.request_tail_ns(tail) - self.terms.request_tail_ns(known.tail)
                 )
                 known.tail = tail
 
     def keep(self, keys: Iterable[str], now: int) -> None:
-        """There are no limits but these any more. What was granted of others ends by itself: a
-        limit that comes back under its key waits for that, as after a start."""
+        """Drop all limits but these. Grants of a dropped limit expire by themselves; if the limit
+        is set again under its key, nothing is granted until then, as after a start."""
         wanted = set(keys)
         for key in [k for k in self.slices if k not in wanted]:
             self._dropped[key] = (now, self.slices.pop(key).tail)
-        for key, (at, tail) in list(self._dropped.items()):
-            if now >= at + self.terms.in_use_ns(tail):
-                del self._dropped[key]  # all that was granted of it is over
+        for key, (dropped_at, tail) in list(self._dropped.items()):
+            if now >= dropped_at + self.terms.in_use_ns(tail):
+                del self._dropped[key]  # every grant of the dropped limit has expired
 
     def ready(self, key: str, now: int) -> bool:
-        """Whether whatever an earlier life of this allocator granted is certainly over."""
+        """Whether all grants by an earlier life of this allocator have certainly expired."""
         known = self.slices[key]
-        return now >= known.born + self.terms.in_use_ns(known.tail)
+        return now >= known.known_since + self.terms.in_use_ns(known.tail)
 
     def claim(self, now: int, life: bytes, claim: Claim) -> list[GrantEntry]:
-        """Answer a claim of the holder with this life; nothing for limits not known here."""
+        """Answer a claim of the holder with this life. Limits that are unknown here get no
+        entry."""
         entries = []
         for entry in claim.entries:
             known = self.slices.get(entry.key)
@@ -235,12 +244,12 @@
         return entries
 
     def give_back(self, now: int, life: bytes, seq: int) -> None:
-        """A holder uses nothing any more, and claims no more under this life."""
+        """Release all units of a holder, which will not claim again under this life."""
         for known in self.slices.values():
             known.give_back(now, life, seq, self.terms)
 
     def outstanding(self, key: str, now: int) -> int:
-        """Units granted and not certainly over."""
+        """Return the units that are granted and have not certainly expired."""
         known = self.slices[key]
         known.expire(now)
         return known.reserved
@@ -248,27 +257,28 @@
 
 @dataclass(slots=True)
 class _HeldGrant:
-    """The last grant of one limit by one allocator, at its holder."""
+    """A holder's record of the last grant of one limit by one allocator."""
 
     amount: int = 0
     end: int = 0
-    seq: int = -1  # of the claim it came by
-    applied: int = 0  # the claim that the workers go by, nothing before it
-    reserved: int = 0  # the largest amount since that claim: the allocator counts it as in use
+    seq: int = -1  # sequence number of the claim that this grant answered
+    applied: int = 0  # the workers have applied the grant for this claim and use no older one
+    reserved: int = 0  # largest amount since `applied`; the allocator counts it as in use
 
 
 class Holder:
-    """What one instance holds of every limit, by every allocator, for one life of its process."""
+    """The grants of all limits that one instance holds, during one life of its process."""
 
     def __init__(self, terms: GrantTerms, allocators: int) -> None:
         self.terms = terms
         self.allocators = allocators
-        self.seqs = [0] * allocators  # of the last claim to each
-        self.version = 0  # grows with every change of an amount
+        self.seqs = [0] * allocators  # sequence number of the last claim to each allocator
+        self.version = 0  # incremented with every change of an amount
+        # By allocator: sequence number and send time of the claims that can still be answered.
         self._sent: list[deque[tuple[int, int]]] = [deque() for _ in range(allocators)]
-        self._held: dict[str, list[_HeldGrant]] = {}  # by limit key, one for each allocator
-        self._changed: dict[str, int] = {}  # version, by limit key
-        self._last: dict[str, int] = {}  # amount, by limit key
+        self._held: dict[str, list[_HeldGrant]] = {}  # by limit key: one grant for each allocator
+        self._changed: dict[str, int] = {}  # version of the last change, by limit key
+        self._last_amounts: dict[str, int] = {}  # units, by limit key
 
     def claim(
         self,
@@ -277,7 +287,8 @@
         needs: Mapping[str, int],
         seen: list[Observation] | None = None,
     ) -> Claim:
-        """The next claim of these limits from an allocator. It has to leave now, or never."""
+        """Make the next claim of these limits from an allocator. The caller has to send it at once
+        or drop it, because a grant's end is counted from `now`."""
         self.seqs[allocator] += 1
         seq = self.seqs[allocator]
         sent = self._sent[allocator]
@@ -292,14 +303,14 @@
         return Claim(seq, entries, seen or [], allocator)
 
     def granted(self, now: int, allocator: int, grant: Grant) -> bool:
-        """Take an answer; False where it is nothing to go by any more: over, or overtaken."""
+        """Apply a grant. Return False if the grant has expired or a newer one has been applied."""
         sent = next((at for seq, at in self._sent[allocator] if seq == grant.seq), None)
         if sent is None:
             return False
         end = sent + self.terms.usable_ns
         if end <= now:
             return False
-        taken = False
+        applied_any = False
         for entry in grant.entries:
             rows = self._held.setdefault(entry.key, [_HeldGrant() for _ in range(self.allocators)])
             held = rows[allocator]
@@ -307,35 +318,36 @@
                 continue
             held.amount, held.end, held.seq = entry.amount, end, grant.seq
             held.reserved = max(held.reserved, entry.amount)
-            taken = True
+            applied_any = True
             self.amount(now, entry.key)
-        return taken
+        return applied_any
 
     def amount(self, now: int, key: str) -> int:
-        """Units that may be used now; a change since the last look is another version."""
-        least, amount = now + self.terms.min_remaining_ns, 0
+        """Return the units that may be used now. If the amount has changed since the last call,
+        increment the version."""
+        min_end, amount = now + self.terms.min_remaining_ns, 0
         for held in self._held.get(key, ()):
-            if held.end > least:
+            if held.end > min_end:
                 amount += held.amount
-        if self._last.get(key, 0) != amount:
+        if self._last_amounts.get(key, 0) != amount:
             self.version += 1
             self._changed[key] = self.version
-            self._last[key] = amount
+            self._last_amounts[key] = amount
         return amount
 
     def until(self, now: int, key: str) -> int:
-        """When the first of what `amount` counts is over; `now` where it counts nothing."""
+        """Return the earliest end of the grants that `amount` counts; `now` if it counts none."""
         ends = [h.end for h in self._held.get(key, ()) if h.end - now > self.terms.min_remaining_ns]
         return min(ends, default=now)
 
     def last_changed_version(self, key: str) -> int:
-        """The version at which a limit's amount changed last."""
+        """Return the version at which a limit's amount last changed; 0 if it never changed."""
         return self._changed.get(key, 0)
 
     def confirm(self, now: int, key: str, used: int, version: int) -> bool:
-        """The workers go by `version`, with `used` units in use. True where telling the allocators
-        at once frees what was taken back; that nothing older is in use they hear in any case with
-        the next claim."""
+        """Record that the workers have applied `version` and have `used` units in use. Return True
+        if an immediate claim would free units that an allocator has taken back. The next regular
+        claim tells the allocators in any case that no older grant is in use."""
         held = self._held.get(key)
         if held is None or version < self.last_changed_version(key) or used > self.amount(now, key):
             return False
@@ -347,12 +359,12 @@
         return frees
 
     def known_keys(self) -> list[str]:
-        """Limit keys of which something is known here."""
+        """Return the limit keys for which a grant is recorded."""
         return list(self._held)
 
     def forget(self, now: int, key: str) -> None:
-        """Nobody here uses this limit any more; dropped once all that was held of it is over."""
+        """Drop the records of a limit that is no longer used here, if all its grants are over."""
         if all(h.end <= now for h in self._held.get(key, ())):
             self._held.pop(key, None)
-            self._last.pop(key, None)
+            self._last_amounts.pop(key, None)
             self._changed.pop(key, None)
--- a/tansywood/fleet/instance.py
+++ b/tansywood/fleet/instance.py
@@ -76,7 +76,7 @@
         self.claims = Claims(
             name, self.allocator_addresses, terms, self.members, self.entitlement, now
         )
-        self.demands = Demands(self.entitlement, self.claims.soon)
+        self.demands = Demands(self.entitlement, self.claims.schedule_soon)
         self.evidence = Evidence()
         self._next_sweep = now + SWEEP
         self._known_rate: dict[str, int] = {}  # by tenant, as told last
@@ -114,7 +114,7 @@
             self.carried.append((envelope.sender, life, body.data))
         elif isinstance(body, Welcome):
             if address in self.allocator_addresses:
-                self.claims.soon(now)
+                self.claims.schedule_soon(now)
             self.messenger.clear_hello(address)
         else:
             self.members.receive(now, envelope.sender, address, body)
@@ -148,9 +148,9 @@
         self.messenger.now = now
         self.entitlement.set_tenants(tenants)
         self.granting.set_limits(now, self.entitlement.limits())
-        self.demands.keep(tenants)
+        self.demands.retain_tenants(tenants)
         self.claims.set_tenants(tenants)
-        self.claims.soon(now)
+        self.claims.schedule_soon(now)
 
     def grant_under_leases(self, may_grant: Callable[[int], bool]) -> None:
         """Slices are granted by whoever `may_grant` says may, and by nobody else from now on."""
@@ -162,7 +162,7 @@
         self.granting.start(now, index, self.entitlement.limits())
         address = self.allocator_addresses[index]
         self._note(address, "dealt", "its slice is dealt here from now on")
-        self.claims.soon(now)
+        self.claims.schedule_soon(now)
 
     def stop_allocating(self, index: int) -> None:
         """What is outstanding ends by itself."""
@@ -227,7 +227,7 @@
     def _claim(self, now: int, index: int, needs: dict[str, int], seen: list[Observation]) -> None:
         """One claim of one allocator, at each address where it may be."""
         claim: Claim | None = None
-        for address in self.claims.ask_at(now, index, self.granting.uses_leases):
+        for address in self.claims.addresses_for(now, index, self.granting.uses_leases):
             here = address == self.address
             if here and self.granting.active(index) is None:
                 continue
@@ -295,7 +295,7 @@
         """At the end: what we hold is free at once, unless requests of a worker that died may
         still be at work at servers; then it ends by itself."""
         self.messenger.now = now
-        over = self.demands.all_over(now)
+        over = self.demands.nothing_in_use(now)
         seqs = self.holder.seqs
         for index, address in enumerate(self.allocator_addresses):
             seqs[index] += 1
--- a/tansywood/fleet/maxmin.py
+++ b/tansywood/fleet/maxmin.py
@@ -1,4 +1,4 @@
-"""Whole units divided among those that need them: max-min fair, odd units in turn. Pure."""
+"""Divides whole units max-min fairly among claimants, with remaining units in rotation. Pure."""
 
 from __future__ import annotations
 
@@ -7,40 +7,44 @@
 
 K = TypeVar("K", bound=Hashable)
 
-KEEP_CREDIT = 4.0  # units that whoever has an odd unit is ahead by: each move costs an answer
-MAX_CREDIT = 50.0  # units, so that a long wait is not paid back for minutes
-LEAST_DIVISOR = 50  # one in so many of an even share is anybody's who claims at all
+# Credit in units that favours the present owner of a remaining unit: each move of a unit costs a
+# grant message.
+CURRENT_OWNER_CREDIT_UNITS = 4.0
+MAX_CREDIT_UNITS = 50.0  # units; without the bound a long wait would be paid back over minutes
+MIN_SHARE_DIVISOR = 50  # every claimant is offered at least one fiftieth of an even share
 
 
 def max_min_shares(total: float, needs: Mapping[K, float]) -> dict[K, float]:
-    """Nobody gets more than it needs while another goes short; what all needs leave over is spread
-    evenly."""
+    """Return a share for each key so that none exceeds its need while another's need is unmet. What
+    remains after all needs is spread evenly."""
     ordered = sorted(needs, key=lambda k: needs[k])
     shares: dict[K, float] = {}
     rest = float(total)
-    for at, key in enumerate(ordered):
-        even = rest / (len(ordered) - at)
+    for position, key in enumerate(ordered):
+        even = rest / (len(ordered) - position)
         shares[key] = min(needs[key], even)
         rest -= shares[key]
     if rest > 0 and shares:
-        more = rest / len(shares)
+        surplus = rest / len(shares)
         for key in shares:
-            shares[key] += more
+            shares[key] += surplus
     return shares
 
 
 def allocate(
     total: int, needs: Mapping[K, int], credit: dict[K, float], had: Mapping[K, int]
 ) -> dict[K, int]:
-    """`total` units, all of them wherever anybody claims. `credit` is what each is owed from
-    earlier rounds, in units, and is carried on here; `had` is what each has now."""
+    """Divide all `total` units among the keys of `needs`; return none if there are no needs.
+    `credit` is the fraction of units owed to each key from earlier rounds and is updated here;
+    `had` is the number of units that each key has now."""
     if not needs:
         return {}
-    wanted = _wanted(total, needs)
+    wanted = _adjusted_needs(total, needs)
     fair = max_min_shares(total, wanted)
     whole = {k: int(share) for k, share in fair.items()}
-    odd = total - sum(whole.values())
-    # Rounding may leave an odd unit to somebody whose share is whole: never mind which.
+    remaining = total - sum(whole.values())
+    # Rounding may give a remaining unit to a key whose share is whole already; which one is
+    # unimportant.
     order = sorted(
         fair,
         key=lambda k: (
@@ -48,29 +52,29 @@
             credit.get(k, 0.0)
             + fair[k]
             - whole[k]
-            + (KEEP_CREDIT if had.get(k, 0) > whole[k] else 0.0),
+            + (CURRENT_OWNER_CREDIT_UNITS if had.get(k, 0) > whole[k] else 0.0),
             str(k),
         ),
         reverse=True,
     )
-    for k in order[:odd]:
+    for k in order[:remaining]:
         whole[k] += 1
     for k in fair:
-        # Only who goes short is owed anything: odd units that nobody needs stay where they are.
+        # Credit is owed only to keys whose need is unmet; units that nobody needs do not move.
         short = wanted[k] > min(whole[k], fair[k])
         owed = credit.get(k, 0.0) + fair[k] - whole[k] if short else 0.0
-        credit[k] = max(-MAX_CREDIT, min(owed, MAX_CREDIT))
+        credit[k] = max(-MAX_CREDIT_UNITS, min(owed, MAX_CREDIT_UNITS))
     for k in [k for k in credit if k not in needs]:
         del credit[k]
     return {k: whole.get(k, 0) for k in needs}
 
 
-def _wanted(total: int, needs: Mapping[K, int]) -> dict[K, float]:
-    """What to divide by: each need, and a least share for those that claim nothing."""
-    least = total // (LEAST_DIVISOR * len(needs))
-    wanted = {k: float(max(need, least)) for k, need in needs.items()}
+def _adjusted_needs(total: int, needs: Mapping[K, int]) -> dict[K, float]:
+    """Return the needs to divide by, each raised to the minimum share of every claimant."""
+    minimum = total // (MIN_SHARE_DIVISOR * len(needs))
+    wanted = {k: float(max(need, minimum)) for k, need in needs.items()}
     if total < len(needs):
-        # Too few to go round: what nobody asked for is not spread thin over those at rest.
+        # With fewer units than claimants, idle claimants get none while others ask for units.
         asking = {k: need for k, need in wanted.items() if need > 0}
         wanted = asking or wanted
     return wanted
--- a/tansywood/fleet/share.py
+++ b/tansywood/fleet/share.py
@@ -1,4 +1,4 @@
-"""What is shared of a tenant's document, and the limit keys that it makes. Pure."""
+"""The limits of a tenant that the instances of a fleet share, and their limit keys. Pure."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What is shared of a tenant's document. Rates in thousandths of a request a second."""
+    """The limits of one tenant that are shared by all instances."""
 
-    rate: int
-    open: int
-    places: int  # at each server; 0: no limit is known
+    rate: int  # thousandths of a request per second
+    open: int  # concurrent requests of the tenant
+    places: int  # concurrent requests at each server; 0 if not limited
     servers: tuple[str, ...]
-    tail: int  # nanoseconds after which a request taken now is over
+    tail: int  # nanoseconds after which a request admitted now has certainly ended
 
     def by_key(self, tenant: str) -> dict[str, tuple[int, int]]:
-        """By limit key: all there is of it, in units, and its tail in nanoseconds."""
-        made = {
+        """Return the limits by limit key: units of the whole limit, and its tail in nanoseconds."""
+        limits = {
             rate_key(tenant): (self.rate, 0),
             open_key(tenant): (self.open, self.tail),
         }
         if self.places:
             for server in self.servers:
-                made[places_key(tenant, server)] = (self.places, self.tail)
-        return made
+                limits[places_key(tenant, server)] = (self.places, self.tail)
+        return limits
 
 
 def limits_of(tenant: TenantSettings) -> Limits:
-    """What a tenant's instances share."""
+    """Return the shared limits of a tenant's settings."""
     return Limits(
         rate=int(tenant.limits.rate_per_s * 1000),
         open=tenant.limits.open,
--- a/tests/fleet/test_idle.py
+++ b/tests/fleet/test_idle.py
@@ -10,7 +10,7 @@
 from standins.fleet.simulated import World
 from tansywood.fleet import status
 from tansywood.fleet.allocation import Holder, open_key, rate_key
-from tansywood.fleet.claims import RESTING
+from tansywood.fleet.claims import IDLE_CLAIM_INTERVAL_NS
 from tansywood.fleet.demands import Demand, Demands
 from tansywood.fleet.entitlement import Entitlement
 from tansywood.fleet.instance import Instance
@@ -85,7 +85,7 @@
 def test_a_tenant_at_rest_is_renewed_once_a_second(tenants: int) -> None:
     made = idle(tenants)
     made.run(SPAN_S)
-    times = SPAN_S * SECOND / RESTING
+    times = SPAN_S * SECOND / IDLE_CLAIM_INTERVAL_NS
     others = [name for name in NAMES if made.hosts[name].address != made.first[-1]]
     counts = [made.tenants_claimed[name, rate_key(t)] for name in others for t in made.tenants]
     assert times - 1 <= min(counts) and max(counts) <= times + 1
@@ -133,7 +133,7 @@
         for host in made.hosts.values():
             assert host.until > made.clock(host)  # what its worker was told holds too
     counts = [made.tenants_claimed[NAMES[-1], rate_key(t)] for t in made.tenants]
-    assert max(counts) <= 2 * SPAN_S * SECOND / RESTING + 1
+    assert max(counts) <= 2 * SPAN_S * SECOND / IDLE_CLAIM_INTERVAL_NS + 1
 
 
 def test_one_renewal_that_is_lost_takes_nothing_from_a_worker() -> None:
