--- a/tansywood/fleet/instance.py
+++ b/tansywood/fleet/instance.py
@@ -1,9 +1,10 @@
-"""One instance of the fleet: members, allocators, claims, evidence and turns put together. Pure.
+"""One instance of the fleet, composed of membership, allocators, claims and evidence. Pure.
 
-Told what comes and what time it is, it says what is to be sent (`take_sends`) and what happened
-(`events`); the service puts it on sockets, the rig on a simulated network. It never reads a clock.
-Its parts are `messenger` (envelopes), `members`, `granting` (the allocators here), `entitlement`
-(what may be used), `demands` (what workers ask for), `claims`, `evidence` (of servers), `status`.
+The caller passes received messages and the time; the instance returns envelopes to send
+(`take_sends`) and records `events`. The service runs it on sockets, the test rig on a simulated
+network. It never reads a clock. Its parts are `messenger` (envelopes), `members`, `granting` (the
+allocators on this instance), `entitlement` (units that may be used), `demands` (reports of the
+workers), `claims`, `evidence` (observations of servers) and `status`.
 """
 
 from __future__ import annotations
@@ -37,8 +38,9 @@
 from tansywood.fleet.signals import Kind
 from tansywood.fleet.terms import SECOND, GrantTerms
 
-SWEEP = SECOND
-TOLD_FRACTION = 0.2  # of its rate: a tenant's share that moves by less is no event
+SWEEP_INTERVAL_NS = SECOND
+# A tenant's share that changes by less than this fraction of the tenant's rate is no event.
+MIN_SHARE_CHANGE_FRACTION = 0.2
 
 
 class Instance:
@@ -57,15 +59,15 @@
         zone: str = "",
         version: str = "",
     ) -> None:
-        """`first` are the allocators' addresses, the same and in the same order everywhere; `life`
-        is 16 random bytes of this start, `born` its time as far as this machine knows (milliseconds
-        of Unix time), which orders the lives of one name and nothing else."""
+        """`first` are the allocators' addresses, which every instance lists in the same order.
+        `life` is 16 random bytes that identify this start. `born` is the start time by this
+        machine's clock in milliseconds of Unix time; it only orders the lives of one name."""
         self.name = name
         self.address = address
         self.life = life
         self.allocator_addresses = tuple(first)
         self.index = self.allocator_addresses.index(address) if address in first else -1
-        self.carried: list[tuple[str, bytes, bytes]] = []  # sender, its life, what it said
+        self.carried: list[tuple[str, bytes, bytes]] = []  # sender, its life, payload
         self.events: EventLog[Event] = EventLog()
         self.messenger = Messenger(name, address, life, now)
         own = MemberUpdate(name, address, life, born, 0, State.ALIVE, False, version, zone)
@@ -78,36 +80,36 @@
         )
         self.demands = Demands(self.entitlement, self.claims.schedule_soon)
         self.evidence = Evidence()
-        self._next_sweep = now + SWEEP
-        self._known_rate: dict[str, int] = {}  # by tenant, as told last
-        self._told: dict[str, status.LastWorkerUpdate] = {}  # by worker
+        self._next_sweep = now + SWEEP_INTERVAL_NS
+        self._reported_rates: dict[str, int] = {}  # by tenant: rate in the last share event
+        self._last_updates: dict[str, status.LastWorkerUpdate] = {}  # last update sent, by worker
 
     @property
     def holder(self) -> Holder:
-        """What allocators granted us."""
+        """The grants that this instance holds."""
         return self.entitlement.holder
 
     def take_sends(self) -> list[tuple[str, Envelope]]:
-        """Envelopes to be sent now, with their addresses."""
+        """Return and clear the envelopes to send now, with their addresses."""
         return self.messenger.take_sends()
 
     # ---- the network ------------------------------------------------------------------------
 
     def carry(self, now: int, address: str, data: bytes) -> None:
-        """Send something of another part; it may be lost like anything here."""
+        """Send a payload of another component in a datagram, which may be lost."""
         self.messenger.now = now
         self.messenger.send(address, Carried(data))
 
     def receive(self, now: int, life: bytes, envelope: Envelope) -> None:
-        """What the process of this life sent; that it did was proved by its seal."""
+        """Process an envelope from the process with this life, whose seal has been verified."""
         self.messenger.now = now
         if not self.messenger.accept(life, envelope):
             return
         address, body = envelope.address, envelope.body
         if isinstance(body, Claim):
-            self._claimed(now, address, life, body)
+            self._handle_claim(now, address, life, body)
         elif isinstance(body, Grant):
-            self._granted(now, address, body)
+            self._handle_grant(now, address, body)
         elif isinstance(body, Return):
             self.granting.give_back(now, life, body)
         elif isinstance(body, Carried):
@@ -118,15 +120,15 @@
             self.messenger.clear_hello(address)
         else:
             self.members.receive(now, envelope.sender, address, body)
-        self._collect(now)
+        self._collect_events(now)
 
-    def _claimed(self, now: int, address: str, life: bytes, claim: Claim) -> None:
+    def _handle_claim(self, now: int, address: str, life: bytes, claim: Claim) -> None:
         grant = self.granting.answer(now, life, claim, self.evidence)
         if grant is not None:
             self.messenger.counts["grants"] += 1
             self.messenger.send_to_life(address, life, grant)
 
-    def _granted(self, now: int, address: str, grant: Grant) -> None:
+    def _handle_grant(self, now: int, address: str, grant: Grant) -> None:
         if grant.allocator >= 0 and self.granting.uses_leases:
             index = grant.allocator
         elif address in self.allocator_addresses:
@@ -138,13 +140,16 @@
         if self.holder.granted(now, index, grant):
             self.claims.answered(now, index, address)
         for server in self.evidence.apply_verdict(now, grant):
-            self._note(server, "doubted", f"{address} hears that several find it out")
+            self._record_event(
+                server, "doubted", f"{address} reports that several instances have ejected it"
+            )
         self.demands.granted(now, (entry.key for entry in grant.entries))
 
-    # ---- what the workers and the settings say ----------------------------------------------
+    # ---- reports of workers, and settings ----------------------------------------------
 
     def set_tenants(self, now: int, tenants: Mapping[str, Limits]) -> None:
-        """All tenants there are; an allocator grants by them, a holder claims by them."""
+        """Replace the tenants, whose limits this instance grants as an allocator and claims as a
+        holder."""
         self.messenger.now = now
         self.entitlement.set_tenants(tenants)
         self.granting.set_limits(now, self.entitlement.limits())
@@ -153,22 +158,22 @@
         self.claims.schedule_soon(now)
 
     def grant_under_leases(self, may_grant: Callable[[int], bool]) -> None:
-        """Slices are granted by whoever `may_grant` says may, and by nobody else from now on."""
+        """From now on grant only slices for which `may_grant` returns True."""
         self.granting.grant_under_leases(may_grant)
 
     def start_allocating(self, now: int, index: int) -> None:
-        """Grant of an allocator's slice from now on, as one does that has just started: whatever
-        was granted of it before is over first."""
+        """Start granting an allocator's slice, in the way of an allocator that has just started:
+        nothing is granted until all earlier grants have certainly expired."""
         self.granting.start(now, index, self.entitlement.limits())
         address = self.allocator_addresses[index]
-        self._note(address, "dealt", "its slice is dealt here from now on")
+        self._record_event(address, "dealt", "this instance now grants its slice")
         self.claims.schedule_soon(now)
 
     def stop_allocating(self, index: int) -> None:
-        """What is outstanding ends by itself."""
+        """Stop granting an allocator's slice; outstanding grants expire by themselves."""
         if self.granting.stop(index):
             address = self.allocator_addresses[index]
-            self._note(address, "dealt", "its slice is dealt here no more")
+            self._record_event(address, "dealt", "this instance no longer grants its slice")
 
     def report(
         self,
@@ -178,19 +183,23 @@
         hosted: Mapping[str, Demand],
         seen: Mapping[str, tuple[Kind, int]],
     ) -> None:
-        """What a worker has at work, all of it, the version of the allocations that it goes by,
-        and what it saw of servers, with the time."""
+        """Process a worker's report: all tenants that it hosts, the version of the allocations that
+        it applies, and its observations of servers with their times."""
         self.messenger.now = now
         self.demands.report(now, worker, version, hosted)
         for server in self.evidence.record_local(seen):
-            row = turns.rank_members(server, self.members.working())
-            place = turns.position(server, row, self.name)
-            first = "we try it first" if not place else f"{row[0]} tries it first"
-            self._note(server, "turn", f"found out here; {first}, {place} are before us")
-        self._collect(now)
+            ranked = turns.rank_members(server, self.members.working())
+            position = turns.position(server, ranked, self.name)
+            first = (
+                "this instance tries it first" if not position else f"{ranked[0]} tries it first"
+            )
+            self._record_event(
+                server, "turn", f"ejected here; {first}, {position} members rank before it"
+            )
+        self._collect_events(now)
 
     def worker_ended(self, now: int, worker: str) -> None:
-        """A worker's process has ended. What it had out may still be at work at servers."""
+        """Record that a worker's process has ended. Servers may still work on its requests."""
         self.messenger.now = now
         self.forget_last_update(worker)
         self.demands.worker_ended(now, worker)
@@ -198,34 +207,37 @@
     # ---- allocations -------------------------------------------------------------------------
 
     def floor(self, key: str) -> int:
-        """Units that we may use with nobody to ask."""
+        """Return the units that this instance may use without a grant."""
         return self.entitlement.floor(key)
 
     def amount(self, now: int, key: str) -> int:
-        """Units that we may use now, the floor included; not more than the whole."""
+        """Return the units that this instance may use now: grants and floor, at most the whole
+        limit."""
         return self.entitlement.amount(now, key)
 
     def allocations(self, now: int, worker: str) -> dict[str, Any]:
-        """What a worker is told: amounts of the tenants that it has, and how long they hold; of
-        those that rest, what is new."""
-        told = self._told.setdefault(worker, status.LastWorkerUpdate())
+        """Return the update for a worker: amounts of the tenants that it hosts and how long they
+        are valid. Idle tenants are included only when something is new."""
+        told = self._last_updates.setdefault(worker, status.LastWorkerUpdate())
         return status.for_worker(self, now, worker, told)
 
     def forget_last_update(self, worker: str) -> None:
-        """It has connected anew: tell it of all tenants that it has."""
-        self._told.pop(worker, None)
+        """Include all tenants in the next update for a worker, which has connected again."""
+        self._last_updates.pop(worker, None)
 
     def _claim_all(self, now: int) -> None:
-        """Claim of every allocator what is due, in as many datagrams as it takes."""
+        """Send the claims that are due to every allocator, in as many datagrams as needed."""
         self.claims.begin_round(now)
         needs = self.claims.needs(now, self.demands)
         answering = self.claims.answering(now)
         for row, seen in batches(needs.items(), self.evidence.recent_observations(now)):
             for index in range(len(self.allocator_addresses)):
-                self._claim(now, index, self.claims.share(row, answering, index), seen)
+                self._send_claim(now, index, self.claims.share(row, answering, index), seen)
 
-    def _claim(self, now: int, index: int, needs: dict[str, int], seen: list[Observation]) -> None:
-        """One claim of one allocator, at each address where it may be."""
+    def _send_claim(
+        self, now: int, index: int, needs: dict[str, int], seen: list[Observation]
+    ) -> None:
+        """Send one claim for a slice to each address at which its allocator may be."""
         claim: Claim | None = None
         for address in self.claims.addresses_for(now, index, self.granting.uses_leases):
             here = address == self.address
@@ -238,7 +250,7 @@
             if here:
                 grant = self.granting.answer(now, self.life, claim, self.evidence)
                 if grant is not None:
-                    self._granted(now, address, grant)
+                    self._handle_grant(now, address, grant)
             else:
                 self.messenger.counts["claims"] += 1
                 self.messenger.send(address, claim)
@@ -246,11 +258,11 @@
     # ---- time --------------------------------------------------------------------------------
 
     def next_due(self) -> int:
-        """When `tick` has something to do."""
+        """Return the time at which `tick` next has something to do."""
         return min(self.claims.next_at, self.members.next_due(), self._next_sweep)
 
     def tick(self, now: int) -> None:
-        """Whatever is due by now."""
+        """Run everything that is due by `now`."""
         self.messenger.now = now
         if now >= self.members.next_due():
             self.members.tick(now)
@@ -258,58 +270,58 @@
             self._claim_all(now)
         if now >= self._next_sweep:
             self._sweep(now)
-        self._collect(now)
+        self._collect_events(now)
 
     def _sweep(self, now: int) -> None:
-        """Forget what is over, and tell of shares that moved."""
-        self._next_sweep = now + SWEEP
+        """Drop expired state, and record an event for each share that has changed."""
+        self._next_sweep = now + SWEEP_INTERVAL_NS
         self.evidence.sweep(now)
-        there = {m.update.address for m in self.members.rows.values()}
-        self.messenger.sweep(there | set(self.allocator_addresses))
+        current = {m.update.address for m in self.members.rows.values()}
+        self.messenger.sweep(current | set(self.allocator_addresses))
         for tenant, limits in self.entitlement.tenants.items():
             rate = self.amount(now, rate_key(tenant))
-            known = self._known_rate.get(tenant)
-            if known is None or abs(rate - known) > TOLD_FRACTION * max(limits.rate, 1):
-                self._known_rate[tenant] = rate
+            known = self._reported_rates.get(tenant)
+            if known is None or abs(rate - known) > MIN_SHARE_CHANGE_FRACTION * max(limits.rate, 1):
+                self._reported_rates[tenant] = rate
                 if known is not None:
                     what = f"{known / 1000:g} to {rate / 1000:g} of {limits.rate / 1000:g} a second"
-                    self._note(tenant, "share", what)
+                    self._record_event(tenant, "share", what)
         self.entitlement.sweep(now)
 
-    def _note(self, name: str, what: str, why: str) -> None:
-        """Told of with what becomes of members, in its order."""
+    def _record_event(self, name: str, what: str, why: str) -> None:
+        """Record an event among those of the members, so that their order is kept."""
         self.members.events.append(Event(name, what, why))
 
-    def _collect(self, now: int) -> None:
+    def _collect_events(self, now: int) -> None:
         for event in self.members.events:
             self.events.add(now, event)
         self.members.events.clear()
 
     def drain(self, now: int) -> None:
-        """Tell everybody that this one takes on nothing new."""
+        """Announce to all members that this instance accepts no new work."""
         self.messenger.now = now
         self.members.drain(now)
-        self._collect(now)
+        self._collect_events(now)
 
     def leave(self, now: int) -> None:
-        """At the end: what we hold is free at once, unless requests of a worker that died may
-        still be at work at servers; then it ends by itself."""
+        """Leave the fleet. All held units are returned at once, unless servers may still work on
+        requests of an ended worker; in that case the grants expire by themselves."""
         self.messenger.now = now
-        over = self.demands.nothing_in_use(now)
+        unused = self.demands.nothing_in_use(now)
         seqs = self.holder.seqs
         for index, address in enumerate(self.allocator_addresses):
             seqs[index] += 1
-            if address == self.address or not over:
+            if address == self.address or not unused:
                 continue
-            for _ in range(2):  # nobody is there to send it again
+            for _ in range(2):  # sent twice, because nobody is left to retry it
                 to = self.claims.answered_by(index) if self.granting.uses_leases else address
                 self.messenger.send(to, Return(seqs[index], index))
                 seqs[index] += 1
         self.members.leave(now)
-        self._collect(now)
+        self._collect_events(now)
 
-    # ---- telling people ----------------------------------------------------------------------
+    # ---- status output ----------------------------------------------------------------------
 
     def status(self, now: int) -> dict[str, Any]:
-        """Of JSON's types."""
+        """Return the instance's status as JSON types."""
         return status.status(self, now)
--- a/tansywood/verify/explore.py
+++ b/tansywood/verify/explore.py
@@ -1,7 +1,7 @@
-"""A search over every reachable state of a model, breadth first, with the shortest broken run.
+"""Breadth-first search over all reachable states of a model; finds a shortest violating run.
 
-A model's states are whatever it likes; `key` makes them comparable. What two states of one key may
-do must be the same: that is the model's to promise, and `random_walk` besides looks without it.
+A model's states may have any type; `key` makes them comparable. The model has to guarantee that two
+states with equal keys allow the same moves. `random_walk` does not depend on that guarantee.
 """
 
 from __future__ import annotations
@@ -16,95 +16,100 @@
 
 
 class Model(Protocol[S]):
-    """What is searched."""
+    """A state machine whose states `search` and `random_walk` explore."""
 
     def begin(self) -> S: ...
     def key(self, state: S) -> Hashable: ...
     def moves(self, state: S) -> Iterable[tuple[str, Callable[[], S | None]]]:
-        """What may happen next: a line for people, and what it leads to (None: to nothing new)."""
+        """Yield the possible moves: a description, and a function that returns the next state, or
+        None if nothing changes."""
 
     def broken(self, state: S) -> str:
-        """The rule that this state breaks, or nothing."""
+        """Return the rule that this state violates, or an empty string."""
 
 
 @dataclass
-class Found(Generic[S]):
-    """What a search came to."""
+class SearchResult(Generic[S]):
+    """The result of a search or of random walks."""
 
     states: int = 0
     moves: int = 0
     depth: int = 0
-    whole: bool = True  # every state was seen; false where `most` ended it
-    broken: str = ""
-    run: list[str] = field(default_factory=list)
+    complete: bool = True  # every state was visited; False if `max_states` ended the search
+    broken: str = ""  # the violated rule
+    run: list[str] = field(default_factory=list)  # the moves that lead to the violation
 
     def __str__(self) -> str:
         size = f"{self.states:,} states, {self.moves:,} moves, {self.depth} deep"
         if self.broken:
             steps = "\n".join(f"  {n:3} {line}" for n, line in enumerate(self.run, 1))
             return f"BROKEN after {size}: {self.broken}\n{steps}"
-        return f"{size}: " + ("all of them" if self.whole else "not all of them") + ", none broken"
+        return (
+            f"{size}: " + ("all of them" if self.complete else "not all of them") + ", none broken"
+        )
 
 
 def search(
-    model: Model[S], most: int = 1 << 60, progress: Callable[[int, int], None] | None = None
-) -> Found[S]:
-    """Every state, or the first `most`. The run of a broken one is as short as any."""
-    found: Found[S] = Found()
+    model: Model[S], max_states: int = 1 << 60, progress: Callable[[int, int], None] | None = None
+) -> SearchResult[S]:
+    """Visit every state, or the first `max_states`, until one violates a rule. No run to a
+    violation is shorter than the one returned."""
+    result: SearchResult[S] = SearchResult()
     begin = model.begin()
     first = hash_of(model.key(begin))
-    came: dict[int, tuple[int, str]] = {first: (0, "")}
-    row: deque[tuple[int, int, S]] = deque([(first, 0, begin)])
-    found.states = 1
-    wrong = model.broken(begin)
-    if wrong:
-        found.broken = wrong
-        return found
-    while row:
-        at, depth, state = row.popleft()
-        found.depth = depth
-        for line, go in model.moves(state):
-            new = go()
+    parents: dict[int, tuple[int, str]] = {first: (0, "")}  # previous state and move, by state
+    queue: deque[tuple[int, int, S]] = deque([(first, 0, begin)])
+    result.states = 1
+    violation = model.broken(begin)
+    if violation:
+        result.broken = violation
+        return result
+    while queue:
+        parent, depth, state = queue.popleft()
+        result.depth = depth
+        for line, next_state in model.moves(state):
+            new = next_state()
             if new is None:
                 continue
-            found.moves += 1
+            result.moves += 1
             key = hash_of(model.key(new))
-            if key in came:
+            if key in parents:
                 continue
-            came[key] = (at, line)
-            found.states += 1
-            wrong = model.broken(new)
-            if wrong:
-                found.broken = wrong
-                found.run = _run(came, key)
-                return found
-            if found.states >= most:
-                found.whole = False
-                return found
-            row.append((key, depth + 1, new))
-            if progress is not None and found.states % 10_000 == 0:
-                progress(found.states, depth)
-    return found
+            parents[key] = (parent, line)
+            result.states += 1
+            violation = model.broken(new)
+            if violation:
+                result.broken = violation
+                result.run = _run_to(parents, key)
+                return result
+            if result.states >= max_states:
+                result.complete = False
+                return result
+            queue.append((key, depth + 1, new))
+            if progress is not None and result.states % 10_000 == 0:
+                progress(result.states, depth)
+    return result
 
 
 def hash_of(key: Hashable) -> int:
-    """64 bits stand for a state, as in Holzmann's hash compaction: of n states two share one with
-    a chance of n squared in 2 to the 65 (a million: 3 in 100 million), which could hide one."""
+    """Return a 64-bit hash that stands for a state, as in Holzmann's hash compaction. Two of n
+    states collide with a probability of n squared in 2 to the 65 (for a million states, 3 in 100
+    million); a collision would hide one of them from the search."""
     return hash(key)
 
 
-def _run(came: dict[int, tuple[int, str]], key: int) -> list[str]:
+def _run_to(parents: dict[int, tuple[int, str]], key: int) -> list[str]:
     lines = []
-    while came[key][1]:
-        key, line = came[key][0], came[key][1]
+    while parents[key][1]:
+        key, line = parents[key][0], parents[key][1]
         lines.append(line)
     return lines[::-1]
 
 
-def random_walk(model: Model[S], seed: int, walks: int, steps: int) -> Found[S]:
-    """So many runs of so many moves, each drawn; for sizes that no search gets through."""
+def random_walk(model: Model[S], seed: int, walks: int, steps: int) -> SearchResult[S]:
+    """Make `walks` runs of up to `steps` random moves, for sizes too large for a full search."""
     rng = Random(seed)
-    found: Found[S] = Found(whole=False)
+    result: SearchResult[S] = SearchResult(complete=False)
     for _ in range(walks):
         state = model.begin()
         lines: list[str] = []
@@ -112,17 +117,17 @@
             moves = list(model.moves(state))
             if not moves:
                 break
-            line, go = rng.choice(moves)
-            new = go()
+            line, next_state = rng.choice(moves)
+            new = next_state()
             if new is None:
                 continue
-            found.moves += 1
-            found.states += 1
-            found.depth = max(found.depth, depth + 1)
+            result.moves += 1
+            result.states += 1
+            result.depth = max(result.depth, depth + 1)
             lines.append(line)
             state = new
-            wrong = model.broken(state)
-            if wrong:
-                found.broken, found.run = wrong, lines
-                return found
-    return found
+            violation = model.broken(state)
+            if violation:
+                result.broken, result.run = violation, lines
+                return result
+    return result
--- a/tests/lease/test_checker.py
+++ b/tests/lease/test_checker.py
@@ -14,7 +14,7 @@
 from tansywood.lease.service import LeaseService
 from tansywood.lease.terms import LeaseTerms
 from tansywood.verify.__main__ import LARGE, SIZES
-from tansywood.verify.explore import Found, random_walk, search
+from tansywood.verify.explore import SearchResult, random_walk, search
 from tansywood.verify.leases import LeaseModel
 from tansywood.verify.world import UNIT, Bounds, World
 
@@ -22,7 +22,7 @@
 MOST = 60_000
 
 
-def found(bounds: Bounds, model: type[LeaseModel] = LeaseModel, **over: Any) -> Found[World]:
+def found(bounds: Bounds, model: type[LeaseModel] = LeaseModel, **over: Any) -> SearchResult[World]:
     return search(model(bounds, **over), MOST)
 
 
@@ -31,7 +31,7 @@
     _, bounds, known = SIZES[size]
     made = search(LeaseModel(bounds))
     assert made.broken == "", str(made)
-    assert made.whole and made.states == known
+    assert made.complete and made.states == known
 
 
 def test_random_walks_beyond_that_size_keep_them_too() -> None:
