--- a/tansywood/fleet/instance.py
+++ b/tansywood/fleet/instance.py
@@ -93,7 +93,7 @@
         """Return and clear the envelopes to send now, with their addresses."""
         return self.messenger.take_sends()
 
-    # ---- the network ------------------------------------------------------------------------
+    # ---- the network -----------------------------------------------------------------------------
 
     def carry(self, now: int, address: str, data: bytes) -> None:
         """Send a payload of another component in a datagram, which may be lost."""
@@ -145,7 +145,7 @@
             )
         self.demands.granted(now, (entry.key for entry in grant.entries))
 
-    # ---- reports of workers, and settings ----------------------------------------------
+    # ---- reports of workers, and settings --------------------------------------------------------
 
     def set_tenants(self, now: int, tenants: Mapping[str, Limits]) -> None:
         """Replace the tenants, whose limits this instance grants as an allocator and claims as a
@@ -204,7 +204,7 @@
         self.forget_last_update(worker)
         self.demands.worker_ended(now, worker)
 
-    # ---- allocations -------------------------------------------------------------------------
+    # ---- allocations -----------------------------------------------------------------------------
 
     def floor(self, key: str) -> int:
         """Return the units that this instance may use without a grant."""
@@ -255,7 +255,7 @@
                 self.messenger.counts["claims"] += 1
                 self.messenger.send(address, claim)
 
-    # ---- time --------------------------------------------------------------------------------
+    # ---- time ------------------------------------------------------------------------------------
 
     def next_due(self) -> int:
         """Return the time at which `tick` next has something to do."""
@@ -320,7 +320,7 @@
         self.members.leave(now)
         self._collect_events(now)
 
-    # ---- status output ----------------------------------------------------------------------
+    # ---- status output ---------------------------------------------------------------------------
 
     def status(self, now: int) -> dict[str, Any]:
         """Return the instance's status as JSON types."""
--- a/tansywood/fleet/settings.py
+++ b/tansywood/fleet/settings.py
@@ -39,7 +39,7 @@
             "maxItems": MAX_ALLOCATORS,
             "uniqueItems": True,
             "items": {"type": "string", "pattern": ADDRESS},
-            "description": "the allocators' addresses: the same list in the same order at every instance",
+            "description": "the allocators' addresses, in the same order at every instance",
         },
         "key_file": {
             "type": "string",
--- a/tansywood/verify/__init__.py
+++ b/tansywood/verify/__init__.py
@@ -1,1 +1,1 @@
-"""Drives the shipped pure code through every order of events, and says which run broke a rule."""
+"""Runs the shipped pure code in every order of events and reports a run that violates a rule."""
--- a/tansywood/verify/identity.py
+++ b/tansywood/verify/identity.py
@@ -1,4 +1,4 @@
-"""What tells two states of the search apart: all that decides what they may still do."""
+"""The identity of a state in the search: everything that determines its possible moves."""
 
 from __future__ import annotations
 
@@ -12,33 +12,34 @@
 
 
 def key(world: World, time_of: Callable[[str], int]) -> Hashable:
-    """Equal for two states that may do the same. `time_of` is a holder's clock."""
+    """Return a key that is equal for states that allow the same moves. `time_of` returns the time
+    on a holder's clock."""
     return (
-        tuple(_voter_key(k, world.kept[n], world.clock) for n, k in world.voters.items()),
+        tuple(_voter_key(k, world.disks[n], world.clock) for n, k in world.voters.items()),
         tuple(_holder_key(holder, time_of(name)) for name, holder in world.holders.items()),
-        world.net,
-        world.spent,
+        world.network,
+        world.used,
     )
 
 
-def _voter_key(k: LeaseService, kept: PersistentState, clock: int) -> Hashable:
+def _voter_key(k: LeaseService, saved: PersistentState, clock: int) -> Hashable:
     r = k.raft
-    lead = _leader_key(k, clock) if r.role == LEADER else None
+    leader_key = _leader_key(k, clock) if r.role == LEADER else None
     votes = tuple(sorted(r.votes)) if r.role in (PRE_CANDIDATE, CANDIDATE) else ()
     return (
         r.role, r.term, r.voted_for, r.leader, tuple(r.entries), r.commit_index, r.applied, votes,
-        lead,
-        kept.term, kept.voted_for, kept.entries,
+        leader_key,
+        saved.term, saved.voted_for, saved.entries,
     )  # fmt: skip
 
 
 def _leader_key(k: LeaseService, clock: int) -> Hashable:
-    """What a leader knows of the others and of its holders."""
+    """Return the part of the key that covers a leader's knowledge of followers and holders."""
     r = k.raft
     return (
         tuple(sorted(r.match_index.items())),
         tuple(sorted(r.next_index.items())),
-        # Only whether what is waited for is confirmed: rounds to come are later ones.
+        # Only whether pending requests are confirmed matters: future rounds have higher numbers.
         tuple(
             (v, sum(at >= w.round for w in k.pending_requests))
             for v, at in sorted(r.acknowledged_round.items())
--- a/tansywood/verify/leases.py
+++ b/tansywood/verify/leases.py
@@ -1,10 +1,11 @@
-"""The shipped log and leases before the search: voters, holders, a network, disks and clocks.
-
-The network is a set of messages that never shrinks: each may be delivered at any time, again, or
-never, which is every order, loss and doubling at once. A crash loses all but what was kept. Time
-is moved by a move of its own, in the worst case that is allowed: holders' clocks run slow by the
-whole bound while voters' run fast. Elections need no time to pass: a voter may ask for one at any
-moment, and none is turned away for a leader heard of, which allows more than the program does.
+"""The shipped log and lease code as a model to search: voters, holders, network, disks, clocks.
+
+The network is a set of messages that never shrinks. Each message may be delivered at any time,
+repeatedly or never, which covers every order, loss and duplication. A crash loses everything that
+is not on disk. Time passes in a separate move under the worst allowed skew: holders' clocks run
+slow by the whole bound while voters' clocks run fast. Elections need no time to pass: a voter may
+start one at any moment, and voters do not refuse it because they recently heard from a leader.
+This allows more runs than the program does.
 """
 
 from __future__ import annotations
@@ -31,247 +32,256 @@
 from tansywood.verify.world import (
     LATE,
     LEASE,
-    NO_CHANCE,
+    TIME_STEP,
     TIMING,
-    UNIT,
+    ZERO_RANDOM,
     Bounds,
     Packet,
-    Spent,
+    UsedBounds,
     World,
     fork_holder,
     fork_service,
 )
 
-Move = tuple[str, Callable[[], World | None]]  # a line for people, and what it leads to
+Move = tuple[
+    str, Callable[[], World | None]
+]  # description, and a function that makes the next state
 
 
 class LeaseModel:
-    """Leases by the shipped LeaseService, Raft, LeaseTable and Holder.
+    """Model of the shipped LeaseService, Raft, LeaseTable and Holder.
 
-    It begins with an elected leader, settled, that has heard from everybody, and nothing asked.
-    A lease lasts for one move of time.
+    A run begins with an elected leader that has heard from all voters and, unless the bounds say
+    otherwise, with a lease that A holds. A lease lasts for one time step.
     """
 
     def __init__(self, bounds: Bounds, terms: LeaseTerms | None = None) -> None:
         self.bounds = bounds
         self.terms = terms or LeaseTerms(
-            duration_ns=UNIT, max_clock_skew_fraction=0.1, renew_interval_ns=UNIT // 2
+            duration_ns=TIME_STEP, max_clock_skew_fraction=0.1, renew_interval_ns=TIME_STEP // 2
         )
-        self.slow = round(UNIT * (1 - 0.1))  # a holder's clock in a move
-        self.names = tuple(f"v{n + 1}" for n in range(bounds.voters))
-        self.people = tuple(chr(ord("A") + n) for n in range(len(bounds.asks)))
+        self.holder_time_step = round(
+            TIME_STEP * (1 - 0.1)
+        )  # a holder's clock advances by this in a time step
+        self.voter_names = tuple(f"v{n + 1}" for n in range(bounds.voters))
+        self.holder_names = tuple(chr(ord("A") + n) for n in range(len(bounds.requests)))
 
-    # ---- the beginning -------------------------------------------------------------------------
+    # ---- initial state ---------------------------------------------------------------------------
 
     def begin(self) -> World:
-        """The state that the search begins with."""
-        saved = PersistentState(snapshot=Snapshot(0, 0, self.names))
-        voters = {n: self._voter(n, saved, 0) for n in self.names}
+        """Return the state with which every run begins."""
+        saved = PersistentState(snapshot=Snapshot(0, 0, self.voter_names))
+        voters = {n: self._voter(n, saved, 0) for n in self.voter_names}
         world = World(
             voters,
-            {h: Holder(h, self.terms) for h in self.people},
+            {h: Holder(h, self.terms) for h in self.holder_names},
             frozenset(),
-            dict.fromkeys(self.names, saved),
+            dict.fromkeys(self.voter_names, saved),
             0,
-            Spent(asks=(0,) * len(self.people)),
+            UsedBounds(requests=(0,) * len(self.holder_names)),
             (),
             (),
         )
         for holder in world.holders.values():
             holder.wanted_names.add(LEASE)
-        if not self.bounds.led:
+        if not self.bounds.has_leader:
             return world
-        first, second = self.names[0], self.names[-1]
+        first, second = self.voter_names[0], self.voter_names[-1]
         world = self.settle(self.act(world, first, lambda k: k.raft.campaign(0)))
         assert world.voters[first].raft.role == LEADER
-        # Once more, so that all know what is committed.
+        # A second round tells all voters what is committed.
         world = self.settle(self.act(world, first, lambda k: k.raft.send_heartbeats(0)))
-        if self.bounds.held:
-            world = self._hold(world, first)
+        if self.bounds.has_holder:
+            world = self._acquire_lease(world, first)
             world = self.settle(self.act(world, first, lambda k: k.raft.send_heartbeats(0)))
-        if self.bounds.second:
+        if self.bounds.has_second_leader:
             world = self.act(world, second, lambda k: k.raft.campaign(0))
             world = self.settle(world, without=first)
             assert world.voters[second].raft.is_ready_leader
         return world
 
     def _voter(self, name: str, saved: PersistentState, now: int) -> LeaseService:
-        """As it starts with what its disk holds."""
-        return LeaseService(Raft(name, saved, TIMING, NO_CHANCE, now), self.terms)
+        """Return a voter as it starts with the state on its disk."""
+        return LeaseService(Raft(name, saved, TIMING, ZERO_RANDOM, now), self.terms)
 
     def settle(self, world: World, without: str = "") -> World:
-        """Deliver everything once, in one order, but to and from one voter; then the network is
-        empty."""
-        while world.net:
-            packets = sorted((p for p in world.net if without not in p[:2]), key=repr)
-            world.net = frozenset()
-            for a, b, what in packets:
-                later = self._deliver(world, a, b, what)
+        """Deliver all messages in a fixed order until the network is empty. Messages to and from
+        the voter `without` are dropped."""
+        while world.network:
+            packets = sorted((p for p in world.network if without not in p[:2]), key=repr)
+            world.network = frozenset()
+            for sender, receiver, what in packets:
+                later = self._deliver(world, sender, receiver, what)
                 if later is not None:
-                    later.net |= world.net
+                    later.network |= world.network
                     world = later
         return world
 
-    def _hold(self, world: World, first: str) -> World:
-        """A has just asked for the lease, was answered, and nothing else is on its way."""
-        holder = fork_holder(world.holders[self.people[0]])
-        ask = holder.next_request(0)
+    def _acquire_lease(self, world: World, first: str) -> World:
+        """Let A acquire the lease from voter `first`; the network is empty afterwards."""
+        holder = fork_holder(world.holders[self.holder_names[0]])
+        request = holder.next_request(0)
         world.holders = {**world.holders, holder.name: holder}
-        world = self.settle(self.act(world, first, lambda k: k.handle_request(0, holder.name, ask)))
+        world = self.settle(
+            self.act(world, first, lambda k: k.handle_request(0, holder.name, request))
+        )
         assert world.holders[holder.name].usable_token(0, LEASE)
         return world
 
     # ---- moves -----------------------------------------------------------------------------------
 
     def act(self, world: World, name: str, what: Callable[[LeaseService], None]) -> World:
-        """Let a voter do something: keep, then send, then answer."""
+        """Run an action on a voter: it first saves its state, then sends messages, then replies."""
         service = fork_service(world.voters[name])
         made = copy(world)
         made.voters = {**world.voters, name: service}
         what(service)
-        net = set(world.net)
+        network = set(world.network)
         while True:
             out = service.take(world.clock)
             if out.saved is not None:
-                made.kept = {**made.kept, name: self.keep(world.kept[name], out.saved)}
-            net.update((name, to, message) for to, message in out.sends)
-            answers, service.replies = service.replies, []
-            net.update((name, to, reply) for to, reply in answers)
+                made.disks = {**made.disks, name: self.persist(world.disks[name], out.saved)}
+            network.update((name, to, message) for to, message in out.sends)
+            replies, service.replies = service.replies, []
+            network.update((name, to, reply) for to, reply in replies)
             for index, entry in out.committed:
-                made.log = self._commit(made, index, entry)
-            if out.saved is None and not out.sends and not out.committed and not answers:
+                made.committed_entries = self._commit(made, index, entry)
+            if out.saved is None and not out.sends and not out.committed and not replies:
                 break
-        made.net = frozenset(net)
+        made.network = frozenset(network)
         raft = service.raft
-        if raft.role == LEADER and (raft.term, name) not in made.led:
-            if any(term == raft.term for term, _ in made.led):
-                made.wrong = f"two lead in term {raft.term}"
-            made.led = (*made.led, (raft.term, name))
+        if raft.role == LEADER and (raft.term, name) not in made.leaders:
+            if any(term == raft.term for term, _ in made.leaders):
+                made.violation = f"two lead in term {raft.term}"
+            made.leaders = (*made.leaders, (raft.term, name))
         return made
 
-    def keep(self, old: PersistentState, new: PersistentState) -> PersistentState:
-        """What a disk holds after a sync."""
+    def persist(self, old: PersistentState, new: PersistentState) -> PersistentState:
+        """Return the contents of a disk after a sync."""
         return new
 
     def _commit(self, world: World, index: int, entry: Entry) -> tuple[tuple[int, Entry], ...]:
-        known = dict(world.log)
+        known = dict(world.committed_entries)
         if index in known:
             if known[index] != entry:
-                world.wrong = f"two entries were committed at {index}"
-            return world.log
+                world.violation = f"two entries were committed at {index}"
+            return world.committed_entries
         return tuple(sorted({**known, index: entry}.items()))
 
-    def _deliver(self, world: World, a: str, b: str, what: Any) -> World | None:
-        if b in world.holders:
-            holder = fork_holder(world.holders[b])
-            if not holder.receive_reply(self.time_of(world, b), what):
+    def _deliver(self, world: World, sender: str, receiver: str, what: Any) -> World | None:
+        if receiver in world.holders:
+            holder = fork_holder(world.holders[receiver])
+            if not holder.receive_reply(self.time_of(world, receiver), what):
                 return None
             made = copy(world)
-            made.holders = {**world.holders, b: holder}
+            made.holders = {**world.holders, receiver: holder}
             return made
         if isinstance(what, LeaseRequest):
-            return self.act(world, b, lambda k: k.handle_request(world.clock, a, what))
-        late = LATE if isinstance(what, PreVoteRequest | VoteRequest) else world.clock
+            return self.act(world, receiver, lambda k: k.handle_request(world.clock, sender, what))
+        now = LATE if isinstance(what, PreVoteRequest | VoteRequest) else world.clock
 
         def receive(service: LeaseService) -> None:
             message: Message = what
-            service.raft.receive(late, a, message)
-            # A time that was only said for the votes' sake is nobody's time.
-            if late == LATE:
+            service.raft.receive(now, sender, message)
+            # LATE only makes the voter accept the request; it must not become the election time.
+            if now == LATE:
                 service.raft.elected_at = min(service.raft.elected_at, world.clock)
             service.queue_due_replies(world.clock)
 
-        return self.act(world, b, receive)
+        return self.act(world, receiver, receive)
 
     def time_of(self, world: World, holder: str) -> int:
-        """A holder's clock."""
-        return world.spent.times * self.slow
+        """Return the time on a holder's clock."""
+        return world.used.time_steps * self.holder_time_step
 
     def moves(self, world: World) -> Iterable[Move]:
-        """All that may happen next."""
-        if world.wrong:
+        """Yield every move that is possible in this state."""
+        if world.violation:
             return
-        for packet in world.net:
-            a, b, what = packet
-            if not pruning.idle(world, packet):
-                yield f"{b} gets {self.describe(what)} of {a}", self._deliver_move(world, packet)
+        for packet in world.network:
+            sender, receiver, what = packet
+            if not pruning.is_noop(world, packet):
+                yield (
+                    f"{receiver} gets {self.describe(what)} of {sender}",
+                    self._deliver_move(world, packet),
+                )
         for name in world.voters:
-            yield from self._voters_moves(world, name)
-        for at in range(len(self.people)):
-            yield from self._holders_moves(world, at)
-        if world.spent.times < self.bounds.times:
-            yield "time passes", self._time(world)
-
-    def _voters_moves(self, world: World, name: str) -> Iterable[Move]:
-        bounds, spent, raft = self.bounds, world.spent, world.voters[name].raft
-        may = raft.role != LEADER and raft.term < bounds.term
-        if may and spent.elections < bounds.elections:
+            yield from self._voter_moves(world, name)
+        for index in range(len(self.holder_names)):
+            yield from self._holder_moves(world, index)
+        if world.used.time_steps < self.bounds.time_steps:
+            yield "time passes", self._pass_time(world)
+
+    def _voter_moves(self, world: World, name: str) -> Iterable[Move]:
+        bounds, used, raft = self.bounds, world.used, world.voters[name].raft
+        may_campaign = raft.role != LEADER and raft.term < bounds.max_term
+        if may_campaign and used.elections < bounds.elections:
             yield f"{name} asks for an election", self._campaign(world, name)
-        if spent.crashes < bounds.crashes:
+        if used.crashes < bounds.crashes:
             yield f"{name} crashes and starts again", self._crash(world, name)
-        if raft.role == LEADER and spent.beats < bounds.beats:
-            yield f"{name} sends a heartbeat", self._beat(world, name)
+        if raft.role == LEADER and used.heartbeats < bounds.heartbeats:
+            yield f"{name} sends a heartbeat", self._send_heartbeat(world, name)
         if raft.role == LEADER:
             yield f"{name} looks at the time", self._tick(world, name)
 
-    def _holders_moves(self, world: World, at: int) -> Iterable[Move]:
-        """Of the holder with this number."""
-        bounds, holder = self.bounds, self.people[at]
-        if world.spent.asks[at] >= bounds.asks[at]:
+    def _holder_moves(self, world: World, index: int) -> Iterable[Move]:
+        """Yield the possible moves of the holder with this index."""
+        bounds, holder = self.bounds, self.holder_names[index]
+        if world.used.requests[index] >= bounds.requests[index]:
             return
         for name, service in world.voters.items():
-            allowed = not bounds.pairs or (holder, name) in bounds.pairs
+            allowed = not bounds.allowed_pairs or (holder, name) in bounds.allowed_pairs
             if service.raft.role == LEADER and allowed:
-                yield f"{holder} asks {name}", self._ask(world, at, holder, name)
+                yield f"{holder} asks {name}", self._request_lease(world, index, holder, name)
 
-    def dead(self, world: World, packet: Packet) -> bool:
-        """Whether a message may be forgotten."""
-        return pruning.dead(world, self.bounds.term, packet)
+    def is_ineffective(self, world: World, packet: Packet) -> bool:
+        """Whether a message can have no effect any more, so that the search may drop it."""
+        return pruning.is_ineffective(world, self.bounds.max_term, packet)
 
     def prune(self, world: World) -> World:
-        """The same without messages that are dead."""
-        kept = frozenset(p for p in world.net if not self.dead(world, p))
-        if len(kept) != len(world.net):
-            world.net = kept
+        """Remove messages that can have no effect any more, and return the state."""
+        kept = frozenset(p for p in world.network if not self.is_ineffective(world, p))
+        if len(kept) != len(world.network):
+            world.network = kept
         return world
 
     def _deliver_move(self, world: World, packet: Packet) -> Callable[[], World | None]:
-        def go() -> World | None:
+        def next_state() -> World | None:
             made = self._deliver(world, *packet)
             return None if made is None else self.prune(made)
 
-        return go
+        return next_state
 
     def _campaign(self, world: World, name: str) -> Callable[[], World]:
-        def go() -> World:
+        def next_state() -> World:
             made = self.act(world, name, lambda k: k.raft.campaign(world.clock))
-            made.spent = replace(world.spent, elections=world.spent.elections + 1)
+            made.used = replace(world.used, elections=world.used.elections + 1)
             return self.prune(made)
 
-        return go
+        return next_state
 
     def _crash(self, world: World, name: str) -> Callable[[], World]:
-        def go() -> World:
+        def next_state() -> World:
             made = copy(world)
-            saved = world.kept[name]
+            saved = world.disks[name]
             service = self._voter(name, saved, world.clock)
             service._last_tick_at = world.clock
             made.voters = {**world.voters, name: service}
-            made.spent = replace(world.spent, crashes=world.spent.crashes + 1)
+            made.used = replace(world.used, crashes=world.used.crashes + 1)
             return made
 
-        return go
+        return next_state
 
-    def _beat(self, world: World, name: str) -> Callable[[], World]:
-        def go() -> World:
+    def _send_heartbeat(self, world: World, name: str) -> Callable[[], World]:
+        def next_state() -> World:
             made = self.act(world, name, lambda k: k.raft.send_heartbeats(world.clock))
-            made.spent = replace(world.spent, beats=world.spent.beats + 1)
+            made.used = replace(world.used, heartbeats=world.used.heartbeats + 1)
             return made
 
-        return go
+        return next_state
 
     def _tick(self, world: World, name: str) -> Callable[[], World | None]:
-        def go() -> World | None:
+        def next_state() -> World | None:
             service = world.voters[name]
             due = [
                 h
@@ -283,43 +293,45 @@
 
             def tick(k: LeaseService) -> None:
                 k._last_tick_at = world.clock
-                k.raft.due = LATE  # heartbeats are a move of their own
+                k.raft.due = LATE  # heartbeats are sent in separate moves only
                 k.raft.last_heard_at = dict.fromkeys(k.raft.last_heard_at, world.clock)
                 k.tick(world.clock)
 
             return self.act(world, name, tick)
 
-        return go
+        return next_state
 
-    def _ask(self, world: World, at: int, holder: str, name: str) -> Callable[[], World]:
-        def go() -> World:
+    def _request_lease(
+        self, world: World, index: int, holder: str, name: str
+    ) -> Callable[[], World]:
+        def next_state() -> World:
             made = copy(world)
-            one = fork_holder(world.holders[holder])
-            ask = one.next_request(self.time_of(world, holder))
-            made.holders = {**world.holders, holder: one}
-            made.net = world.net | {(holder, name, ask)}
-            asks = list(world.spent.asks)
-            asks[at] += 1
-            made.spent = replace(world.spent, asks=tuple(asks))
+            copied = fork_holder(world.holders[holder])
+            request = copied.next_request(self.time_of(world, holder))
+            made.holders = {**world.holders, holder: copied}
+            made.network = world.network | {(holder, name, request)}
+            requests = list(world.used.requests)
+            requests[index] += 1
+            made.used = replace(world.used, requests=tuple(requests))
             return made
 
-        return go
+        return next_state
 
-    def _time(self, world: World) -> Callable[[], World]:
-        def go() -> World:
+    def _pass_time(self, world: World) -> Callable[[], World]:
+        def next_state() -> World:
             made = copy(world)
-            made.clock = world.clock + UNIT
-            made.spent = replace(world.spent, times=world.spent.times + 1)
+            made.clock = world.clock + TIME_STEP
+            made.used = replace(world.used, time_steps=world.used.time_steps + 1)
             return made
 
-        return go
+        return next_state
 
     # ---- rules -----------------------------------------------------------------------------------
 
     def broken(self, world: World) -> str:
-        """The rule that does not hold in a state, or nothing."""
-        if world.wrong:
-            return world.wrong
+        """Return the rule that a state violates, or an empty string."""
+        if world.violation:
+            return world.violation
         acting = [
             (token, name)
             for name, holder in world.holders.items()
@@ -329,12 +341,12 @@
             return f"two holders may act: {acting}"
         return ""
 
-    # ---- for the search --------------------------------------------------------------------------
+    # ---- support of the search -------------------------------------------------------------------
 
     def key(self, world: World) -> Hashable:
-        """See `identity`."""
+        """Return the key of a state; states with equal keys allow the same moves."""
         return identity.key(world, lambda name: self.time_of(world, name))
 
     def describe(self, what: Any) -> str:
-        """A message in one line of a run."""
+        """Return a one-line description of a message."""
         return f"{type(what).__name__}{tuple(getattr(what, f) for f in what.__struct_fields__)}"
--- a/tansywood/verify/pruning.py
+++ b/tansywood/verify/pruning.py
@@ -1,4 +1,4 @@
-"""Messages that can't matter any more, so that the search need not tell states apart by them."""
+"""Recognizes messages without effect, so that the search need not distinguish states by them."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from tansywood.verify.world import Packet, World
 
 
-def dead(world: World, highest_term: int, packet: Packet) -> bool:
-    """Whether a message can never do anything any more, whatever comes: it may be forgotten.
-    `highest_term`: of the search.
+def is_ineffective(world: World, highest_term: int, packet: Packet) -> bool:
+    """Whether a message can have no effect in this state or any later one. `highest_term` is the
+    highest term of the search.
 
-    Terms and what a holder has heard only grow. The one effect that is left out by it: a
-    refusal in a newer term would tell an old leader that it is none any more. It stays one
-    for longer here than in the program, which is the dangerous side.
+    This holds because terms and the sequence numbers that a holder has received only grow. One
+    effect is left out: a refusal in a newer term would tell an old leader to step down. Here the
+    old leader stays leader for longer than in the program, which is the less safe case.
     """
     sender, to, what = packet
     if isinstance(what, LeaseReply):
@@ -32,24 +32,26 @@
             return what.seq <= world.voters[to]._latest_seq.get(what.holder, 0)
         return raft.term >= highest_term
     if isinstance(what, PreVoteRequest | PreVoteReply | VoteRequest | VoteReply):
-        return _dead_vote(raft, what)
+        return _is_ineffective_vote(raft, what)
     if isinstance(what, AppendEntriesReply):
-        return _useless(world, sender, to, what)
+        return _is_ineffective_reply(world, sender, to, what)
     if what.term < raft.term:
         return True
-    # An entry that is there already, whose acknowledgement nobody would miss.
+    # Entries that the follower has already, and whose acknowledgement the leader does not need.
     return (
         isinstance(what, AppendEntries)
         and what.term == raft.term
-        and _has(raft, what)
-        and _useless(
-            world, to, sender, AppendEntriesReply(what.term, True, _match(what), what.round)
+        and _has_entries(raft, what)
+        and _is_ineffective_reply(
+            world, to, sender, AppendEntriesReply(what.term, True, _match_index(what), what.round)
         )
     )
 
 
-def _dead_vote(raft: Raft, what: PreVoteRequest | PreVoteReply | VoteRequest | VoteReply) -> bool:
-    """Of elections: those that are over, or that this vote does not decide."""
+def _is_ineffective_vote(
+    raft: Raft, what: PreVoteRequest | PreVoteReply | VoteRequest | VoteReply
+) -> bool:
+    """Whether an election message belongs to a decided election or cannot influence it."""
     if isinstance(what, PreVoteRequest):
         return what.term <= raft.term
     if isinstance(what, PreVoteReply):
@@ -60,14 +62,14 @@
     return what.term < raft.term or (what.term == raft.term and bool(raft.voted_for))
 
 
-def _match(what: AppendEntries) -> int:
-    """The last entry that a follower has in common with its leader after this."""
+def _match_index(what: AppendEntries) -> int:
+    """Return the last index up to which the follower's log equals its leader's after this."""
     return what.prev_index + len(what.entries)
 
 
-def _has(raft: Raft, what: AppendEntries) -> bool:
-    """Whether all that this brings is there, and committed as far as it says."""
-    match = _match(what)
+def _has_entries(raft: Raft, what: AppendEntries) -> bool:
+    """Whether the follower already has all these entries and has committed as far as they say."""
+    match = _match_index(what)
     return (
         match <= raft.last_index
         and raft.commit_index >= min(what.commit_index, match)
@@ -76,9 +78,9 @@
     )
 
 
-def _useless(world: World, sender: str, to: str, what: AppendEntriesReply) -> bool:
-    """An acknowledgement that its leader can learn nothing from, now or later: it leads no
-    more in that term, or knows of those entries, and nobody waits for a round so early."""
+def _is_ineffective_reply(world: World, sender: str, to: str, what: AppendEntriesReply) -> bool:
+    """Whether an acknowledgement tells its leader nothing, now or later: the receiver no longer
+    leads in that term, or it knows of the entries and no request waits for that round."""
     service = world.voters[to]
     raft = service.raft
     if what.term < raft.term or raft.role != LEADER:
@@ -93,16 +95,16 @@
     return not needed or min(needed) > what.round
 
 
-def idle(world: World, packet: Packet) -> bool:
-    """Whether a delivery would lead back to this very state: its outcome need not be made."""
-    a, b, what = packet
+def is_noop(world: World, packet: Packet) -> bool:
+    """Whether a delivery would lead back to the same state, so that it need not be computed."""
+    sender, receiver, what = packet
     if isinstance(what, LeaseReply):
         return False
-    raft = world.voters[b].raft
+    raft = world.voters[receiver].raft
     if isinstance(what, LeaseRequest):
-        return raft.role != LEADER  # the reply would only say who leads
+        return raft.role != LEADER  # the reply would only name the leader
     if isinstance(what, AppendEntries):
-        known = what.term == raft.term and raft.role == FOLLOWER and raft.leader == a
-        reply = AppendEntriesReply(raft.term, True, _match(what), what.round)
-        return known and _has(raft, what) and (b, a, reply) in world.net
+        known = what.term == raft.term and raft.role == FOLLOWER and raft.leader == sender
+        reply = AppendEntriesReply(raft.term, True, _match_index(what), what.round)
+        return known and _has_entries(raft, what) and (receiver, sender, reply) in world.network
     return False
--- a/tansywood/verify/world.py
+++ b/tansywood/verify/world.py
@@ -1,4 +1,4 @@
-"""One state of the searched leases: voters, holders, network, disks and clock; copies of them."""
+"""A state of the lease model: voters, holders, network, disks, clock; and copies of its parts."""
 
 from __future__ import annotations
 
@@ -14,94 +14,95 @@
 from tansywood.lease.service import LeaseService
 
 LEASE = "x"
-LATE = 1 << 50  # a time at which nobody has heard of a leader lately
-UNIT = 10  # a voter's clock in one move of time
+LATE = 1 << 50  # a time so late that no voter counts as having heard from a leader recently
+TIME_STEP = 10  # by how much a voter's clock advances in one time step
 TIMING = Timing(heartbeat_interval_ns=1, election_timeout_ns=2)
 
 
-class NoChance(Random):
-    """Always draws 0: when an election comes is for the search to say."""
+class ZeroRandom(Random):
+    """A random source that always returns 0, because the search decides when elections start."""
 
     def random(self) -> float:
         return 0.0
 
 
-NO_CHANCE = NoChance(0)
+ZERO_RANDOM = ZeroRandom(0)
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """How far the search goes. Each is a count over a whole run."""
+    """The bounds of a search. Counts apply to a whole run."""
 
     voters: int = 3
-    term: int = 2  # the highest
-    elections: int = 1  # beyond the first leader's
-    asks: tuple[int, ...] = (1, 1)  # of each holder
-    pairs: tuple[tuple[str, str], ...] = ()  # who may ask whom; empty: anybody any leader
+    max_term: int = 2
+    elections: int = 1  # not counting the first leader's election
+    requests: tuple[int, ...] = (1, 1)  # lease requests of each holder
+    allowed_pairs: tuple[tuple[str, str], ...] = ()  # holder and voter; empty: all pairs
     crashes: int = 1
-    times: int = 4  # moves of time
-    beats: int = 0  # heartbeats of leaders besides those that answers need
-    led: bool = True  # whether it begins with a leader
-    held: bool = True  # and with a lease that A has just got
-    second: bool = False  # and with a newer leader besides, of which the first has not heard
+    time_steps: int = 4
+    heartbeats: int = 0  # leaders' heartbeats, not counting those that replies need
+    has_leader: bool = True  # whether the run begins with a leader
+    has_holder: bool = True  # whether the run begins just after A has acquired the lease
+    has_second_leader: bool = False  # whether a newer leader exists that the first does not know of
 
 
 @dataclass(frozen=True, slots=True)
-class Spent:
-    """What of the bounds is used up."""
+class UsedBounds:
+    """How much of the bounds a run has used."""
 
     elections: int = 0
     crashes: int = 0
-    times: int = 0
-    beats: int = 0
-    asks: tuple[int, ...] = ()
+    time_steps: int = 0
+    heartbeats: int = 0
+    requests: tuple[int, ...] = ()
 
 
-Packet = tuple[str, str, Any]  # from, to, what
+Packet = tuple[str, str, Any]  # sender, receiver, message
 
 
 @dataclass(slots=True)
 class World:
-    """One state. Never changed: a move copies what it changes."""
+    """One state of the model. A move never changes a state but copies the parts that it changes."""
 
     voters: dict[str, LeaseService]
     holders: dict[str, Holder]
-    net: frozenset[Packet]
-    kept: dict[str, PersistentState]
-    clock: int
-    spent: Spent
-    led: tuple[tuple[int, str], ...]  # who led in which term
-    log: tuple[tuple[int, Entry], ...]  # what was committed, by anybody
-    wrong: str = ""
+    network: frozenset[Packet]
+    disks: dict[str, PersistentState]  # by voter
+    clock: int  # the voters' clock
+    used: UsedBounds
+    leaders: tuple[tuple[int, str], ...]  # every leader so far, with its term
+    committed_entries: tuple[tuple[int, Entry], ...]  # by index, committed by any voter
+    violation: str = ""  # the violated rule
 
 
-OWN = (list, set, dict, deque)
+MUTABLE_CONTAINERS = (list, set, dict, deque)
 
 
-def fork(thing: Any) -> Any:
-    """A copy whose own lists, sets and tables are its own; entries and messages never change."""
-    made = object.__new__(type(thing))
-    own = thing.__dict__.copy()
-    for name, value in own.items():
-        if type(value) in OWN:
-            own[name] = value.copy()
-    made.__dict__ = own
-    return made
+def fork(original: Any) -> Any:
+    """Copy an object and its mutable containers. Log entries and messages are immutable and are
+    shared with the original."""
+    copied = object.__new__(type(original))
+    attributes = original.__dict__.copy()
+    for name, value in attributes.items():
+        if type(value) in MUTABLE_CONTAINERS:
+            attributes[name] = value.copy()
+    copied.__dict__ = attributes
+    return copied
 
 
 def fork_service(service: LeaseService) -> LeaseService:
-    """A voter that may be changed without the state that it comes from."""
-    made: LeaseService = fork(service)
-    made.raft = fork(service.raft)
-    made.raft._out = RaftOutput()
+    """Copy a voter, so that it can be changed independently of the state that contains it."""
+    copied: LeaseService = fork(service)
+    copied.raft = fork(service.raft)
+    copied.raft._out = RaftOutput()
     table = fork(service.table)
     table.names_by_holder = {h: set(names) for h, names in service.table.names_by_holder.items()}
-    made.table = table
-    made.pending_requests = [copy(w) for w in service.pending_requests]
-    return made
+    copied.table = table
+    copied.pending_requests = [copy(w) for w in service.pending_requests]
+    return copied
 
 
 def fork_holder(holder: Holder) -> Holder:
-    """The same of a holder."""
-    made: Holder = fork(holder)
-    return made
+    """Copy a holder, so that it can be changed independently of the state that contains it."""
+    copied: Holder = fork(holder)
+    return copied
