--- a/tests/fleet/test_days.py
+++ b/tests/fleet/test_days.py
@@ -1,4 +1,4 @@
-"""The rig's own books: a day's file, the meter, the network."""
+"""Tests of the test rig itself: day files, the meter, the network and the report."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         (GOOD + 'faults = [{ at = 1, what = "kill", instance = "z" }]', r"'z' is no instance"),
     ],
 )
-def test_a_day_that_cannot_be_played_is_told_by_its_place(
+def test_an_invalid_day_is_refused_with_the_place_of_the_fault(
     tmp_path: Path, text: str, told: str
 ) -> None:
     path = tmp_path / "day.toml"
@@ -48,7 +48,7 @@
         load(str(path))
 
 
-def test_the_standard_days_can_be_played() -> None:
+def test_every_standard_day_can_be_loaded() -> None:
     assert {p.stem for p in DAYS.glob("*.toml")} >= {"calm", "short", "split", "lives", "jump"}
     for path in DAYS.glob("*.toml"):
         assert load(str(path)).faults is not None
@@ -64,22 +64,22 @@
     return made
 
 
-def test_a_rate_exceeded_for_a_moment_is_seen() -> None:
+def test_a_short_burst_above_the_rate_is_detected() -> None:
     even = [n / 10 for n in range(300)]
     assert meter(even).excess(10.0, 5) < 0
     burst = sorted([*even, *[15.0 + n / 1000 for n in range(40)]])
     assert 30 < meter(burst).excess(10.0, 5) < 45
-    assert meter(burst, End.REFUSED, 429).excess(10.0, 5) < 0  # turned away: not let in
+    assert meter(burst, End.REFUSED, 429).excess(10.0, 5) < 0  # refused requests do not count
 
 
-def test_a_request_that_took_long_is_in_no_stretch_it_does_not_lie_in() -> None:
+def test_a_long_request_counts_only_in_intervals_that_contain_it() -> None:
     made = Meter()
     for _ in range(50):
         made.add(Passage("a", 0.0, 10.0, End.SERVED, 200))
     assert made.excess(5.0, 1) < 0
 
 
-def test_links_lose_double_and_cut_by_their_seed() -> None:
+def test_link_faults_are_reproducible_by_seed() -> None:
     async def go(seed: int) -> tuple[int, int, int]:
         net = Network(Random(seed))
         await net.start()
@@ -105,7 +105,7 @@
     assert 150 < first[0] < 250 and first[1] == 1
 
 
-def test_the_report_tells_every_second_and_the_verdict() -> None:
+def test_the_report_lists_every_second_and_the_verdict() -> None:
     made = Outcome(load("calm"), meter=meter([0.5, 1.5]), began=0.0)
     made.happened.append((1.2, "kill instance=a"))
     made.ends = {"a": {End.SERVED: 2}}
@@ -115,7 +115,7 @@
     assert "BROKEN: x ran twice" in report.summary(made)
 
 
-def test_people_get_tables_of_members_and_shares() -> None:
+def test_status_prints_tables_of_members_and_shares() -> None:
     told = {
         "members": [
             {"name": "a", "ours": True, "state": "alive", "for_s": 3.0, "address": "10.0.0.1:1",
--- a/tests/fleet/test_layout.py
+++ b/tests/fleet/test_layout.py
@@ -1,5 +1,5 @@
-"""The bytes on the wire, as they were recorded before names in the program changed. An instance of
-an older version reads and sends exactly these."""
+"""The encoded bytes of every message. Instances of older versions read and send exactly these, so a
+rename in the program must not change them."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 UPDATE = MemberUpdate("a", "10.0.0.1:1", b"l" * 16, 7, 1, 1, True, "1", "z", "b")
 CLAIM = Claim(2, [ClaimEntry("t/rate", 5, 3)], [Observation("t/s", 1, 9)], 1)
 GRANT = Grant(2, [GrantEntry("t/rate", 4)], ["t/s"], ["t/q"], 1)
-HEAD = "94a161aa31302e302e302e313a31c410" + "74" * 16
+HEADER_HEX = "94a161aa31302e302e302e313a31c410" + "74" * 16
 UPDATE_HEX = "9aa161aa31302e302e302e313a31c410" + "6c" * 16 + "070101c3a131a17aa162"
 
 
@@ -51,7 +51,7 @@
     ],
     ids=lambda value: None if isinstance(value, str) else type(value).__name__,
 )
-def test_a_message_is_these_bytes_and_is_read_from_them(body: Body, data: str) -> None:
+def test_a_message_keeps_its_encoding(body: Body, data: str) -> None:
     envelope = Envelope("a", "10.0.0.1:1", b"t" * 16, body)
-    assert pack(envelope).hex() == HEAD + data
-    assert unpack(bytes.fromhex(HEAD + data)) == envelope
+    assert pack(envelope).hex() == HEADER_HEX + data
+    assert unpack(bytes.fromhex(HEADER_HEX + data)) == envelope
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,4 +1,4 @@
-"""Whole instances as processes, faults between them, one ledger: the short standard day."""
+"""Instances as real processes with faults between them, checked against one ledger."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     assert short.problems == [], report.timeline(short) + "\n" + report.summary(short)
 
 
-def test_every_instance_served_and_all_of_the_rate_is_dealt(played: Played) -> None:
+def test_every_instance_serves_and_the_whole_rate_is_granted(played: Played) -> None:
     short = played("short")
     assert all(ends[End.SERVED] for ends in short.ends.values())
     assert short.dealt >= 0.9
@@ -30,7 +30,7 @@
 
 
 def small(**over: object) -> Day:
-    """Two instances before one server, more callers at each than the whole lets in."""
+    """Two instances in front of one server, each with more callers than the limits admit."""
     base = replace(
         SHORT,
         seconds=7.0,
@@ -50,16 +50,17 @@
     return replace(base, **over)  # type: ignore[arg-type]
 
 
-def stopped_part(without: str) -> Day:
-    """The fleet's own process of b stops; its worker is left with what it was lent."""
+def suspended_fleet_process(without: str) -> Day:
+    """The fleet process of b is suspended; its worker is left with its last allocation."""
     stop = Fault(5.0, "stop_part", {"instance": "b", "part": "fleet"})
-    # It does not end in order while it is stopped.
+    # A suspended process cannot end in order, so it is resumed before the day ends.
     go = Fault(11.0, "go_part", {"instance": "b", "part": "fleet"})
     return small(homes=1, seconds=11.5, faults=(stop, go), without=without)
 
 
-def two_of_a_name() -> Day:
-    """Both serve nobody's limits twice: the first is told and dealt to, the other hears nothing."""
+def duplicate_name() -> Day:
+    """Two instances have the same name, and another has a foreign key. Only the first instance of
+    the name gets grants."""
     names = ("a", "b", "c", "d")
     return small(
         seconds=11.0,
@@ -68,26 +69,26 @@
         callers=dict.fromkeys(names, 4),
         names={"c": "a"},
         strangers=("d",),
-        # Who was first is who started first: the other comes once that one serves.
+        # The instance that started first counts as first; the other one starts once it serves.
         faults=(Fault(0.5, "add", {"instance": "c"}), Fault(8.0, "replay")),
     )
 
 
-def test_a_second_of_one_name_and_one_with_another_key(played: Played) -> None:
+def test_a_duplicate_name_and_a_foreign_key_get_no_grants(played: Played) -> None:
     names = ("a", "b", "c", "d")
     made = played("two_of_a_name")
     assert made.over == 0 and made.twice == 0 and made.excess <= len(names), report.summary(made)
     assert all(made.ends[n][End.SERVED] for n in "abc") and not made.ends["d"][End.SERVED]
     assert made.told["c"]["conflict"] == made.told["a"]["address"]
     seen = {m["name"]: m["address"] for m in made.told["b"]["members"]}
-    assert seen["a"] == made.told["a"]["address"]  # who was first
+    assert seen["a"] == made.told["a"]["address"]  # the instance that started first
     assert sorted(seen) == ["a", "b"]
     assert made.told["a"]["refused"]["stranger"] > 0 and made.told["d"]["refused"]["stranger"] == 0
     assert made.told["b"]["refused"]["replay"] > 0
 
 
-def broken_way() -> Day:
-    """b reaches no server any more and says so; then s-0 is gone for everybody."""
+def lost_route() -> Day:
+    """b loses its connection to all servers and reports them; then s-0 fails for every instance."""
     names = ("a", "b", "c")
     return small(
         seconds=16.0,
@@ -102,7 +103,7 @@
     )
 
 
-def test_one_with_a_broken_way_to_all_servers_takes_none_from_the_others(played: Played) -> None:
+def test_an_instance_that_reaches_no_server_ejects_none_for_the_others(played: Played) -> None:
     made = played("broken_way")
     assert made.over == 0 and made.twice == 0, report.summary(made)
     heard = []
@@ -112,41 +113,41 @@
         assert {server for what, server in told if what == "doubted"} <= {"cork/s-0"}
         late = [r for r in made.meter.rows if r.instance == name and r.ended > made.began + 9]
         assert sum(r.end == End.SERVED for r in late) > 5
-    assert ("turn", "cork/s-0") in heard  # found out, and whose try it is
+    assert ("turn", "cork/s-0") in heard  # ejected, with the rank in trying it again
 
 
-def test_a_worker_without_its_fleet_keeps_to_what_nobody_else_may_use(played: Played) -> None:
+def test_a_worker_without_its_fleet_process_exceeds_no_limit(played: Played) -> None:
     made = played("stopped")
     assert made.over == 0 and made.excess <= len(made.day.instances), report.summary(made)
     assert made.ends["b"][End.SERVED] > 0 and made.twice == 0
 
 
-def test_without_the_end_of_what_was_lent_a_limit_is_exceeded(played: Played) -> None:
+def test_a_worker_that_ignores_the_end_of_its_grants_is_detected(played: Played) -> None:
     made = played("stopped, no end")
     assert made.excess > 2 * len(made.day.instances), report.summary(made)
     assert made.over > 0
 
 
 def resets(without: str) -> Day:
-    """Connections to a slow server break over and over; it goes on with what it has begun."""
+    """Connections to a slow server are reset repeatedly; it continues the requests it has begun."""
     faults = tuple(
         Fault(3.5 + 0.5 * n, "reset_servers", {"instance": name}) for n in range(5) for name in "ab"
     )
     return small(seconds=6.5, work_s=0.5, faults=faults, without=without)
 
 
-def test_what_a_server_may_still_be_at_keeps_its_place_through_resets(played: Played) -> None:
+def test_requests_that_may_still_run_occupy_their_slots_after_resets(played: Played) -> None:
     made = played("resets")
     assert made.over == 0 and made.twice == 0, report.summary(made)
     assert sum(ends[End.SERVED] for ends in made.ends.values()) > 0
 
 
-def test_without_the_place_of_what_was_given_up_a_server_gets_too_many(played: Played) -> None:
+def test_freeing_the_slots_of_abandoned_requests_is_detected(played: Played) -> None:
     assert played("resets, no place").over > 0
 
 
-def home_lost(hand_on: bool) -> Day:
-    """a, a home and a voter, is killed and stays away; what is dealt is looked at in the end."""
+def allocator_lost(hand_on: bool) -> Day:
+    """a, an allocator and a voter, is killed for good; the granted rate is read at the end."""
     return small(
         seconds=14.0 if hand_on else 9.0,
         instances=("a", "b", "c"),
@@ -158,34 +159,34 @@
     )
 
 
-def test_the_slice_of_a_home_that_died_is_dealt_by_another(played: Played) -> None:
+def test_the_slice_of_a_dead_allocator_is_granted_by_another(played: Played) -> None:
     made = played("home lost")
     assert made.over == 0 and made.twice == 0, report.summary(made)
     assert made.excess <= len(made.day.instances)
     assert made.dealt >= 0.9
 
 
-def test_without_leases_it_rests(played: Played) -> None:
+def test_without_leases_the_slice_of_a_dead_allocator_is_not_granted(played: Played) -> None:
     made = played("home lost, no leases")
     assert 0.4 <= made.dealt <= 0.6 and made.over == 0, report.summary(made)
 
 
-def test_without_a_fleet_every_instance_takes_the_whole(played: Played) -> None:
+def test_without_a_fleet_every_instance_uses_the_whole_limit(played: Played) -> None:
     made = played("no fleet")
-    assert made.over > 0  # two places, and each instance thinks that both are its own
+    assert made.over > 0  # each instance uses both places of the server
     assert made.excess > len(made.day.instances)
     assert made.twice == 0
 
 
-# Each takes seconds of waiting and little work: three at a time, the longest first.
+# Each day mostly waits for some seconds, so three run at a time, the longest first.
 DAYS = {
     "short": SHORT,
-    "broken_way": broken_way(),
-    "home lost": home_lost(hand_on=True),
-    "stopped": stopped_part(""),
-    "stopped, no end": stopped_part("end"),
-    "two_of_a_name": two_of_a_name(),
-    "home lost, no leases": home_lost(hand_on=False),
+    "broken_way": lost_route(),
+    "home lost": allocator_lost(hand_on=True),
+    "stopped": suspended_fleet_process(""),
+    "stopped, no end": suspended_fleet_process("end"),
+    "two_of_a_name": duplicate_name(),
+    "home lost, no leases": allocator_lost(hand_on=False),
     "resets": resets(""),
     "resets, no place": resets("given-up"),
     "no fleet": small(seconds=3.0, fleet=False),
@@ -195,7 +196,7 @@
 
 @pytest.fixture(scope="module")
 def played() -> Iterator[Played]:
-    """What a day came to; all days are begun with the first."""
+    """Return the outcome of a day by its name; all days start with the first use."""
     pool = ProcessPoolExecutor(3, mp_context=get_context("spawn"))
     days = {name: pool.submit(play, day, 1) for name, day in DAYS.items()}
     yield lambda name: days[name].result()
--- a/tests/fleet/worlds.py
+++ b/tests/fleet/worlds.py
@@ -1,4 +1,4 @@
-"""Small worlds of instances in simulated time, and what must hold in them at every moment."""
+"""Small simulated fleets in simulated time, and the invariant that they must keep at every step."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 TENANT = "cork"
 LIMITS = Limits(150_000, 40, 5, ("s-0", "s-1"), SECOND)
-WHOLES = {
+LIMIT_UNITS = {
     rate_key(TENANT): LIMITS.rate,
     open_key(TENANT): LIMITS.open,
     places_key(TENANT, "s-0"): LIMITS.places,
@@ -20,14 +20,17 @@
 }
 
 
-class Broken(AssertionError):
-    """More in use than there is."""
+class LimitExceededError(AssertionError):
+    """More units of a limit are in use than the limit allows."""
 
 
-def conserved(world: World) -> None:
-    for key, whole in WHOLES.items():
+def assert_conserved(world: World) -> None:
+    """Raise LimitExceededError if more units of a limit are in use than there are."""
+    for key, whole in LIMIT_UNITS.items():
         if world.in_use(key) > whole:
-            raise Broken(f"{key}: {world.in_use(key)} of {whole} at {world.now / SECOND:.3f} s")
+            raise LimitExceededError(
+                f"{key}: {world.in_use(key)} of {whole} at {world.now / SECOND:.3f} s"
+            )
 
 
 def world(
@@ -41,41 +44,42 @@
 ) -> World:
     made = World(names, allocators, {TENANT: LIMITS}, seed, terms, clocks, hand_on)
     if watched:
-        made.watch = conserved
+        made.watch = assert_conserved
     for name in names:
         made.start(name)
     return made
 
 
-def want(made: World, name: str, rate: int, units: int = 3) -> None:
-    """What an instance's callers ask for: requests a second, and units of all else."""
+def set_demand(made: World, name: str, rate: int, units: int = 3) -> None:
+    """Set the demand of an instance's callers: requests per second, and units of other limits."""
     made.hosts[name].needs = {
-        key: rate * 1000 if key.endswith("/rate") else units for key in WHOLES
+        key: rate * 1000 if key.endswith("/rate") else units for key in LIMIT_UNITS
     }
 
 
-def history(made: World, seed: int, steps: int = 14) -> None:
-    """Random stops, ends, returns, cuts and network conditions, each for a random while."""
+def run_random_history(made: World, seed: int, steps: int = 14) -> None:
+    """Apply random pauses, kills, restarts, partitions and network conditions, each for a random
+    time."""
     rng = Random(seed)
     names = list(made.hosts)
     for _ in range(steps):
         name = rng.choice(names)
         host = made.hosts[name]
-        kind = rng.randrange(8)
-        if kind == 0 and host.instance is not None and not host.paused:
+        fault = rng.randrange(8)
+        if fault == 0 and host.instance is not None and not host.paused:
             made.pause(name)
-        elif kind == 1 and host.instance is not None:
+        elif fault == 1 and host.instance is not None:
             made.kill(name)
-        elif kind == 2:
+        elif fault == 2:
             made.split(rng.sample(names, rng.randint(1, len(names) - 1)), rng.random() < 0.6)
-        elif kind == 3:
+        elif fault == 3:
             made.heal()
-        elif kind == 4:
+        elif fault == 4:
             made.conditions.loss = rng.choice((0.0, 0.1, 0.4))
             made.conditions.late = rng.choice((0.0, 0.1, 0.3))
             made.conditions.twice = rng.choice((0.0, 0.2))
         else:
-            want(made, name, rng.choice((0, 5, 80, 400)), rng.choice((0, 1, 4, 30)))
+            set_demand(made, name, rng.choice((0, 5, 80, 400)), rng.choice((0, 1, 4, 30)))
         for other in names:
             host = made.hosts[other]
             if host.paused and rng.random() < 0.4:
@@ -83,13 +87,13 @@
             elif host.instance is None and rng.random() < 0.5:
                 made.start(other)
         if made.granted_by is not None and rng.random() < 0.5:
-            here = [n for n in names if made.hosts[n].instance and not made.hosts[n].paused]
-            made.hand(rng.randrange(len(made.first)), rng.choice(here or names))
+            running = [n for n in names if made.hosts[n].instance and not made.hosts[n].paused]
+            made.hand(rng.randrange(len(made.first)), rng.choice(running or names))
         made.run(rng.choice((0.1, 0.4, 1.0, 2.5)))
 
 
 def settle(made: World, seconds: float = 8.0) -> None:
-    """Every fault ends, and so much time passes."""
+    """End every fault and run for `seconds`."""
     made.heal()
     made.conditions.loss = made.conditions.late = made.conditions.twice = 0.0
     for name, host in made.hosts.items():
