--- a/tansywood/fleet/instance.py
+++ b/tansywood/fleet/instance.py
@@ -140,9 +140,7 @@
         if self.holder.granted(now, index, grant):
             self.claims.answered(now, index, address)
         for server in self.evidence.apply_verdict(now, grant):
-            self._record_event(
-                server, "doubted", f"{address} reports that several instances have ejected it"
-            )
+            self._record_event(server, "doubted", f"{address} hears that several find it out")
         self.demands.granted(now, (entry.key for entry in grant.entries))
 
     # ---- reports of workers, and settings --------------------------------------------------------
@@ -166,14 +164,14 @@
         nothing is granted until all earlier grants have certainly expired."""
         self.granting.start(now, index, self.entitlement.limits())
         address = self.allocator_addresses[index]
-        self._record_event(address, "dealt", "this instance now grants its slice")
+        self._record_event(address, "dealt", "its slice is dealt here from now on")
         self.claims.schedule_soon(now)
 
     def stop_allocating(self, index: int) -> None:
         """Stop granting an allocator's slice; outstanding grants expire by themselves."""
         if self.granting.stop(index):
             address = self.allocator_addresses[index]
-            self._record_event(address, "dealt", "this instance no longer grants its slice")
+            self._record_event(address, "dealt", "its slice is dealt here no more")
 
     def report(
         self,
@@ -190,12 +188,8 @@
         for server in self.evidence.record_local(seen):
             ranked = turns.rank_members(server, self.members.working())
             position = turns.position(server, ranked, self.name)
-            first = (
-                "this instance tries it first" if not position else f"{ranked[0]} tries it first"
-            )
-            self._record_event(
-                server, "turn", f"ejected here; {first}, {position} members rank before it"
-            )
+            first = "we try it first" if not position else f"{ranked[0]} tries it first"
+            self._record_event(server, "turn", f"found out here; {first}, {position} are before us")
         self._collect_events(now)
 
     def worker_ended(self, now: int, worker: str) -> None:
