--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,7 +1,7 @@
-"""Files, modules and identifiers that the pages name exist, so that no rename leaves a page behind.
+"""Files, modules and identifiers that the pages name exist: no rename leaves a page behind.
 
-What stands between backticks counts. A path has to be a file or a folder, a module behind `python -m` has to
-be there, and an identifier has to occur in the code, in a settings file or in a script.
+What stands between backticks counts. A path has to be a file or a folder, a module behind
+`python -m` has to be there, and an identifier has to occur in the code or in a settings file.
 """
 
 from __future__ import annotations
@@ -73,9 +73,8 @@
             yield node.name
         elif isinstance(node, ast.Name):
             yield node.id
-        elif isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name):
-            if node.value.id == "self":
-                yield node.attr
+        elif isinstance(node, ast.Attribute) and ast.unparse(node.value) == "self":
+            yield node.attr
 
 
 @cache
@@ -120,12 +119,11 @@
             yield f"python -m {name}"
     for span in SPAN.findall(re.sub(r"```.*?```", "", text, flags=re.DOTALL)):
         if PATH.fullmatch(span):
-            if span.split("/")[0] in PACKAGES or span.endswith((".py", ".md")):
-                if not path_exists(page, span):
-                    yield span
-        elif IDENTIFIER.fullmatch(span):
-            if not is_known(span):
+            ours = span.split("/")[0] in PACKAGES or span.endswith((".py", ".md"))
+            if ours and not path_exists(page, span):
                 yield span
+        elif IDENTIFIER.fullmatch(span) and not is_known(span):
+            yield span
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: str(page.relative_to(ROOT)))
