--- a/standins/scale/life.py
+++ b/standins/scale/life.py
@@ -2,7 +2,7 @@
 
 It asks for its tenants by their hosts, as a node does when their first requests come, and puts into
 force at once. Callers go on to name the host of a tenant that is not there, or not any more: so it
-is asked for again once a node would, Terms.unknown after the last answer.
+is asked for again once a node would, Parameters.unknown_alias_ttl_ns after the last answer.
 """
 
 from __future__ import annotations
--- a/windrelay/interfaces.py
+++ b/windrelay/interfaces.py
@@ -117,7 +117,7 @@
 
 
 class MemberSource(Protocol):
-    """A source of the list of backends; reports each update to `Node.members_told`."""
+    """A source of the list of backends; reports each update to `Node.apply_member_update`."""
 
     def load_known_list(self, raw: Any) -> list[Listing]:
         """Read the list in a configuration; raises ValueError if it can't be used."""
